--- a/audit/src/main/kotlin/dev/bronzeshore/audit/AuditReader.kt
+++ b/audit/src/main/kotlin/dev/bronzeshore/audit/AuditReader.kt
@@ -7,14 +7,14 @@
 import dev.bronzeshore.core.AUDIT_PREFIX
 import dev.bronzeshore.core.AuditEntry
 import dev.bronzeshore.core.Fault
-import dev.bronzeshore.core.PartLog
+import dev.bronzeshore.core.ComponentLog
 import dev.bronzeshore.core.ResultCode
 import dev.bronzeshore.core.RowRange
 import dev.bronzeshore.core.TableApi
 
 /** Reads audit rows by key range. */
 public class AuditReader(private val table: TableApi) {
-    private val log = PartLog("audit")
+    private val log = ComponentLog("audit")
 
     /**
      * Up to [limit] entries after the key [after], the newest last; fewer only at the end of the audit.
--- a/core/src/main/kotlin/dev/bronzeshore/core/PartLog.kt
+++ b/core/src/main/kotlin/dev/bronzeshore/core/ComponentLog.kt
@@ -4,7 +4,7 @@
 import org.tinylog.Logger
 
 /** Writes short sentences through tinylog, each with the part's [prefix]. */
-public class PartLog(private val prefix: String) {
+public class ComponentLog(private val prefix: String) {
     public fun info(message: () -> String): Unit = Logger.info { "$prefix: ${message()}" }
 
     public fun warn(message: () -> String): Unit = Logger.warn { "$prefix: ${message()}" }
--- a/core/src/main/kotlin/dev/bronzeshore/core/Deadline.kt
+++ b/core/src/main/kotlin/dev/bronzeshore/core/Deadline.kt
@@ -2,7 +2,7 @@
 package dev.bronzeshore.core
 
 /** Largest difference between the wall clocks of two VMs that the safety rules allow for. */
-public const val CLOCK_DRIFT_MS: Long = 250
+public const val MAX_CLOCK_SKEW_MS: Long = 250
 
 /** Longest time that a worker keeps a task whose lease has not been renewed. */
 public const val TASK_LEASE_MS: Long = 30_000
--- a/core/src/main/kotlin/dev/bronzeshore/core/SteadyClock.kt
+++ b/core/src/main/kotlin/dev/bronzeshore/core/MonotonicClock.kt
@@ -4,4 +4,4 @@
 private const val NANOS_PER_MS = 1_000_000L
 
 /** Milliseconds of the steady clock of this process; only differences have a meaning. */
-public val SteadyClock: ClockMs = { System.nanoTime() / NANOS_PER_MS }
+public val MonotonicClock: ClockMs = { System.nanoTime() / NANOS_PER_MS }
--- a/core/src/main/kotlin/dev/bronzeshore/core/OperatorApi.kt
+++ b/core/src/main/kotlin/dev/bronzeshore/core/OperatorApi.kt
@@ -55,16 +55,16 @@
 
 /** Where a part of a job runs. */
 @Serializable
-public data class PartPlace(public val part: Int, public val workerId: String, public val startedAtMs: Long)
+public data class PartLocation(public val part: Int, public val workerId: String, public val startedAtMs: Long)
 
 /** A job with what it waits for and where its parts run. */
 @Serializable
 public data class JobView(
     public val record: JobRecord,
     public val waitReason: String? = null,
-    public val running: List<PartPlace> = emptyList(),
+    public val running: List<PartLocation> = emptyList(),
 )
 
 /** Why a job is in its present state. */
 @Serializable
-public data class Why(public val jobId: String, public val reason: String)
+public data class JobExplanation(public val jobId: String, public val reason: String)
--- a/core/src/main/kotlin/dev/bronzeshore/core/cluster/CallerAnswers.kt
+++ b/core/src/main/kotlin/dev/bronzeshore/core/cluster/JobOperations.kt
@@ -44,11 +44,11 @@
 }
 
 /** What callers may ask of any process. */
-public class JobDesk(
+public class JobOperations(
     public val submit: suspend (AcceptedJob) -> SubmitAnswer,
     public val stateOf: suspend (jobId: String) -> StateAnswer,
     /** True once the cancellation is stored. */
     public val cancel: suspend (jobId: String) -> Boolean,
     /** Number of jobs of a queue without a started task, or null if it is not known. */
-    public val waitingIn: suspend (queue: String) -> Int?,
+    public val waitingJobCount: suspend (queue: String) -> Int?,
 )
--- a/core/src/main/kotlin/dev/bronzeshore/core/cluster/Store.kt
+++ b/core/src/main/kotlin/dev/bronzeshore/core/cluster/Store.kt
@@ -8,7 +8,7 @@
 import arrow.core.Either
 
 /** Where a row is kept. */
-public data class RowId(public val table: String, public val part: String, public val key: String)
+public data class RowId(public val table: String, public val partition: String, public val key: String)
 
 /** A row as read; [value] is null for a row that a change feed reports as deleted. */
 public class StoredRow(public val id: RowId, public val value: ByteArray?, public val version: Long)
@@ -52,7 +52,7 @@
 /** A key range of one part; [fromKey] is included, [toKey] excluded. */
 public data class RowRangeQuery(
     public val table: String,
-    public val part: String,
+    public val partition: String,
     public val fromKey: String? = null,
     public val toKey: String? = null,
 )
--- a/core/src/main/kotlin/dev/bronzeshore/core/cluster/Tables.kt
+++ b/core/src/main/kotlin/dev/bronzeshore/core/cluster/Tables.kt
@@ -8,58 +8,58 @@
 /** Names of tables and parts, and the layout of keys. */
 public object Tables {
     /** Rows that only the leader writes share this part, so that a transaction can require the leader's term. */
-    public const val LEADER_PART: String = "lead"
+    public const val LEADER_PARTITION: String = "lead"
 
     /** Who leads, and the leader's sign of life. */
     public const val LEADER: String = "leader"
-    public val TERM_ROW: RowId = RowId(LEADER, LEADER_PART, "term")
-    public val BEAT_ROW: RowId = RowId(LEADER, LEADER_PART, "beat")
+    public val TERM_ROW: RowId = RowId(LEADER, LEADER_PARTITION, "term")
+    public val HEARTBEAT_ROW: RowId = RowId(LEADER, LEADER_PARTITION, "beat")
 
     /** The progress of each job that has started. */
     public const val PROGRESS: String = "progress"
 
     /** Workers that may run tasks, and numbers that callers ask for. */
-    public const val LEADER_NOTES: String = "notes"
-    public val ROSTER_ROW: RowId = RowId(LEADER_NOTES, LEADER_PART, "roster")
-    public val SPEEDS_ROW: RowId = RowId(LEADER_NOTES, LEADER_PART, "speeds")
+    public const val LEADER_STATE: String = "notes"
+    public val ROSTER_ROW: RowId = RowId(LEADER_STATE, LEADER_PARTITION, "roster")
+    public val SPEEDS_ROW: RowId = RowId(LEADER_STATE, LEADER_PARTITION, "speeds")
 
     /** Its version changes with each write of the journal, so that one without an answer cannot take effect later. */
-    public val JOURNAL_ROW: RowId = RowId(LEADER_NOTES, LEADER_PART, "journal")
-    public val WAITING_ROW: RowId = RowId(LEADER_NOTES, LEADER_PART, "waiting")
+    public val JOURNAL_ROW: RowId = RowId(LEADER_STATE, LEADER_PARTITION, "journal")
+    public val WAITING_ROW: RowId = RowId(LEADER_STATE, LEADER_PARTITION, "waiting")
 
     /** Accepted jobs and cancellations; any process writes here. */
     public const val INTAKE: String = "intake"
 
-    private const val INTAKE_PART_COUNT = 64
+    private const val INTAKE_PARTITION_COUNT = 64
 
     /**
      * A part handles its transactions one after another. In a slow spell of the store each takes 300 ms, so the 60
      * submissions a second of a burst need more than 18 parts; four parts refused most of them.
      */
-    public val INTAKE_PARTS: List<String> = List(INTAKE_PART_COUNT) { it.toString() }
+    public val INTAKE_PARTITIONS: List<String> = List(INTAKE_PARTITION_COUNT) { it.toString() }
 
     /** Addresses of the processes. */
     public const val NODES: String = "nodes"
-    public const val NODES_PART: String = "all"
+    public const val NODES_PARTITION: String = "all"
 
     /** Sorts after every key that begins with a job id and ends with a printable character. */
     private const val LAST_CHARACTER = "~"
     private const val CANCEL_SUFFIX = ".cancel"
 
-    public fun intakePartOf(jobId: String): String = INTAKE_PARTS[Math.floorMod(jobId.hashCode(), INTAKE_PARTS.size)]
+    public fun intakePartitionOf(jobId: String): String = INTAKE_PARTITIONS[Math.floorMod(jobId.hashCode(), INTAKE_PARTITIONS.size)]
 
-    public fun acceptedRow(jobId: String): RowId = RowId(INTAKE, intakePartOf(jobId), jobId)
+    public fun acceptedRow(jobId: String): RowId = RowId(INTAKE, intakePartitionOf(jobId), jobId)
 
-    public fun cancelRow(jobId: String): RowId = RowId(INTAKE, intakePartOf(jobId), jobId + CANCEL_SUFFIX)
+    public fun cancelRow(jobId: String): RowId = RowId(INTAKE, intakePartitionOf(jobId), jobId + CANCEL_SUFFIX)
 
     /** The job that a cancellation row names, or null for other rows. */
     public fun cancelledJobOf(key: String): String? = key.removeSuffix(CANCEL_SUFFIX).takeIf { it != key }
 
-    public fun progressRow(jobId: String): RowId = RowId(PROGRESS, LEADER_PART, jobId)
+    public fun progressRow(jobId: String): RowId = RowId(PROGRESS, LEADER_PARTITION, jobId)
 
     /** The range that holds exactly the rows of [jobId] in a table keyed by job. */
-    public fun rowsOfJob(table: String, part: String, jobId: String): RowRangeQuery =
-        RowRangeQuery(table, part, jobId, jobId + LAST_CHARACTER)
+    public fun rowsOfJob(table: String, partition: String, jobId: String): RowRangeQuery =
+        RowRangeQuery(table, partition, jobId, jobId + LAST_CHARACTER)
 }
 
 /** Encodes a row of bronzeshore's own. */
--- a/core/src/main/kotlin/dev/bronzeshore/core/cluster/Worker.kt
+++ b/core/src/main/kotlin/dev/bronzeshore/core/cluster/Worker.kt
@@ -4,11 +4,11 @@
 import dev.bronzeshore.core.Resources
 
 /** One life of a worker: a worker that starts again under the same id is another life. */
-public data class WorkerLife(public val workerId: String, public val startedAtMs: Long)
+public data class WorkerIncarnation(public val workerId: String, public val startedAtMs: Long)
 
 /** What a worker says of itself. */
 public data class WorkerEntry(
-    public val life: WorkerLife,
+    public val incarnation: WorkerIncarnation,
     public val service: String,
     public val address: String,
     public val dataCentre: String,
@@ -26,11 +26,11 @@
 public data class TaskRun(public val task: TaskName, public val run: Long)
 
 /** Starts a run unless the worker's clock has passed [validUntilWorkerMs] when the order arrives. */
-public data class StartOrder(
+public data class StartRequest(
     public val run: TaskRun,
     public val payload: String,
     public val validUntilWorkerMs: Long,
-    public val fence: Long,
+    public val fencingToken: Long,
     public val checkpoint: String?,
     public val ticket: String?,
 )
@@ -68,8 +68,8 @@
 public data class StartAnswer(public val result: StartResult, public val workerClockMs: Long? = null)
 
 /** Renews the lease of all runs on a worker, acknowledges ends and asks for what runs and what has ended. */
-public data class HoldOrder(
-    public val fence: Long,
+public data class HoldRequest(
+    public val fencingToken: Long,
     public val acknowledgedEnd: Long,
     public val leaseUntilWorkerMs: Long?,
     /** The answer waits this long for an end. */
@@ -110,10 +110,10 @@
 
 /** The calls that workers answer. */
 public class WorkerCalls(
-    public val start: suspend (WorkerEntry, StartOrder) -> StartAnswer,
+    public val start: suspend (WorkerEntry, StartRequest) -> StartAnswer,
     /** True if the worker confirmed that the run is stopped or will never start there. */
-    public val stop: suspend (WorkerEntry, TaskRun, fence: Long) -> Boolean,
-    public val hold: suspend (WorkerEntry, HoldOrder) -> HoldAnswer,
+    public val stop: suspend (WorkerEntry, TaskRun, fencingToken: Long) -> Boolean,
+    public val hold: suspend (WorkerEntry, HoldRequest) -> HoldAnswer,
 )
 
 /** Permission to start a step on a worker. */
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/OperatorClient.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/OperatorClient.kt
@@ -16,7 +16,7 @@
 import dev.bronzeshore.core.ProcessStatus
 import dev.bronzeshore.core.ResultCode
 import dev.bronzeshore.core.VmStatus
-import dev.bronzeshore.core.Why
+import dev.bronzeshore.core.JobExplanation
 import dev.bronzeshore.core.WireJson
 import kotlinx.serialization.KSerializer
 import kotlinx.serialization.builtins.ListSerializer
@@ -61,7 +61,7 @@
     suspend fun cancel(jobId: String): Either<CtlFailure, JobView> =
         send("DELETE", "/v1/jobs/${encode(jobId)}", body = null, JobView.serializer())
 
-    suspend fun why(jobId: String): Either<CtlFailure, Why> = get("/v1/jobs/${encode(jobId)}/why", Why.serializer())
+    suspend fun why(jobId: String): Either<CtlFailure, JobExplanation> = get("/v1/jobs/${encode(jobId)}/why", JobExplanation.serializer())
 
     private suspend fun <T> get(path: String, answer: KSerializer<T>): Either<CtlFailure, T> =
         send("GET", path, body = null, answer, changes = false)
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/WhyCommand.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/WhyCommand.kt
@@ -3,7 +3,7 @@
 
 import arrow.core.Either
 import arrow.core.raise.either
-import dev.bronzeshore.core.Why
+import dev.bronzeshore.core.JobExplanation
 import org.kohsuke.args4j.Argument
 
 internal class WhyCommand : ServerCommand() {
@@ -14,6 +14,6 @@
     override val summary: String = "Says in one sentence why a job is in its present state."
 
     override suspend fun run(context: CtlContext): Either<CtlFailure, Unit> = either {
-        show(context, Why.serializer(), client(context).bind().why(job).bind()) { listOf(it.reason) }
+        show(context, JobExplanation.serializer(), client(context).bind().why(job).bind()) { listOf(it.reason) }
     }
 }
--- a/intake/src/main/kotlin/dev/bronzeshore/intake/StoreDesk.kt
+++ b/intake/src/main/kotlin/dev/bronzeshore/intake/StoreDesk.kt
@@ -5,7 +5,7 @@
 import dev.bronzeshore.core.EventLog
 import dev.bronzeshore.core.cluster.AcceptedJob
 import dev.bronzeshore.core.cluster.ClusterStore
-import dev.bronzeshore.core.cluster.JobDesk
+import dev.bronzeshore.core.cluster.JobOperations
 import dev.bronzeshore.core.cluster.JobPhase
 import dev.bronzeshore.core.cluster.JobProgress
 import dev.bronzeshore.core.cluster.RowRangeQuery
@@ -29,9 +29,9 @@
     clock: ClockMs,
     isServed: () -> Boolean,
     scope: CoroutineScope,
-): JobDesk {
+): JobOperations {
     val desk = StoreDesk(store, clock, isServed, scope)
-    return JobDesk(desk::submit, desk::stateOf, desk::cancel, desk::waitingIn)
+    return JobOperations(desk::submit, desk::stateOf, desk::cancel, desk::waitingJobCount)
 }
 
 private class StoreDesk(
@@ -41,16 +41,16 @@
     scope: CoroutineScope,
 ) {
     private val log = EventLog("intake")
-    private val writers = Tables.INTAKE_PARTS.associateWith { SubmissionWriter(store, clock, isServed, scope) }
+    private val writers = Tables.INTAKE_PARTITIONS.associateWith { SubmissionWriter(store, clock, isServed, scope) }
     private var counts: WaitingCounts? = null
     private var countsReadAtMs = 0L
 
-    suspend fun submit(job: AcceptedJob): SubmitAnswer = writers.getValue(Tables.intakePartOf(job.jobId)).submit(job)
+    suspend fun submit(job: AcceptedJob): SubmitAnswer = writers.getValue(Tables.intakePartitionOf(job.jobId)).submit(job)
 
     suspend fun stateOf(jobId: String): StateAnswer {
         val progress = progressOf(jobId)
         if (progress != StateAnswer.NoSuchJob) return progress
-        val intake = rowsOf(Tables.INTAKE, Tables.intakePartOf(jobId), jobId) ?: return StateAnswer.Unavailable
+        val intake = rowsOf(Tables.INTAKE, Tables.intakePartitionOf(jobId), jobId) ?: return StateAnswer.Unavailable
         return when {
             // The job may have ended since the first look, and its accepted row may have been deleted.
             intake.none { it.id.key == jobId } -> progressOf(jobId)
@@ -62,7 +62,7 @@
     }
 
     private suspend fun progressOf(jobId: String): StateAnswer {
-        val rows = rowsOf(Tables.PROGRESS, Tables.LEADER_PART, jobId) ?: return StateAnswer.Unavailable
+        val rows = rowsOf(Tables.PROGRESS, Tables.LEADER_PARTITION, jobId) ?: return StateAnswer.Unavailable
         val value = rows.firstOrNull { it.id.key == jobId }?.value ?: return StateAnswer.NoSuchJob
         return StateAnswer.Found(decodeRow(JobProgress.serializer(), value).phase)
     }
@@ -85,15 +85,15 @@
         return outcome is StoreOutcome.Applied
     }
 
-    suspend fun waitingIn(queue: String): Int? {
+    suspend fun waitingJobCount(queue: String): Int? {
         if (clock() - countsReadAtMs > COUNTS_MAX_AGE_MS) readCounts()
         return counts?.let { it.byQueue[queue] ?: 0 }
     }
 
     private suspend fun readCounts() {
         val query = RowRangeQuery(
-            Tables.LEADER_NOTES,
-            Tables.LEADER_PART,
+            Tables.LEADER_STATE,
+            Tables.LEADER_PARTITION,
             Tables.WAITING_ROW.key,
             Tables.WAITING_ROW.key + "~",
         )
--- a/jobs/src/main/kotlin/dev/bronzeshore/jobs/DataCentreJobs.kt
+++ b/jobs/src/main/kotlin/dev/bronzeshore/jobs/DataCentreJobs.kt
@@ -5,7 +5,7 @@
 import arrow.core.flatMap
 import arrow.core.left
 import arrow.core.right
-import dev.bronzeshore.core.CLOCK_DRIFT_MS
+import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 import dev.bronzeshore.core.Fault
 import dev.bronzeshore.core.JobRecord
 import dev.bronzeshore.core.JobState
@@ -100,7 +100,7 @@
 
     private suspend fun heartbeatLoop() {
         // Earlier reports do not count for recovery; a first round of them would delay it by a whole period.
-        val reportsCountAtMs = context.authority.previousOverAtMs + 2 * CLOCK_DRIFT_MS
+        val reportsCountAtMs = context.authority.previousOverAtMs + 2 * MAX_CLOCK_SKEW_MS
         delay(reportsCountAtMs + 1 - context.clock())
         while (true) {
             sessions.all.toList().forEach { context.scope.launch { dispatcher.heartbeat(it) } }
--- a/jobs/src/main/kotlin/dev/bronzeshore/jobs/JobJournal.kt
+++ b/jobs/src/main/kotlin/dev/bronzeshore/jobs/JobJournal.kt
@@ -8,7 +8,7 @@
 import dev.bronzeshore.core.Condition
 import dev.bronzeshore.core.Fault
 import dev.bronzeshore.core.Outcome
-import dev.bronzeshore.core.PartLog
+import dev.bronzeshore.core.ComponentLog
 import dev.bronzeshore.core.ResultCode
 import dev.bronzeshore.core.TableApi
 import dev.bronzeshore.core.WriteResult
@@ -30,7 +30,7 @@
     private val table: TableApi,
     private val fence: Condition,
     private val clock: ClockMs,
-    private val log: PartLog,
+    private val log: ComponentLog,
 ) {
     private val buffer = ArrayDeque<JournalEntry>()
     private val wakeUp = Channel<Unit>(Channel.CONFLATED)
--- a/jobs/src/main/kotlin/dev/bronzeshore/jobs/JobRecovery.kt
+++ b/jobs/src/main/kotlin/dev/bronzeshore/jobs/JobRecovery.kt
@@ -3,7 +3,7 @@
 
 import arrow.core.Either
 import arrow.core.right
-import dev.bronzeshore.core.CLOCK_DRIFT_MS
+import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 import dev.bronzeshore.core.Fault
 import dev.bronzeshore.core.JobRecord
 import dev.bronzeshore.core.Policy
@@ -46,7 +46,7 @@
 
     /** True once no copy that was not reported can still run. */
     fun isComplete(): Boolean {
-        val allLeasesOverAtMs = context.authority.previousOverAtMs + TASK_LEASE_MS + 2 * CLOCK_DRIFT_MS
+        val allLeasesOverAtMs = context.authority.previousOverAtMs + TASK_LEASE_MS + 2 * MAX_CLOCK_SKEW_MS
         return context.clock() > allLeasesOverAtMs || sessions.all.all { it.observedAtMs > 0 }
     }
 
--- a/jobs/src/main/kotlin/dev/bronzeshore/jobs/JobsContext.kt
+++ b/jobs/src/main/kotlin/dev/bronzeshore/jobs/JobsContext.kt
@@ -2,7 +2,7 @@
 package dev.bronzeshore.jobs
 
 import dev.bronzeshore.core.ClockMs
-import dev.bronzeshore.core.PartLog
+import dev.bronzeshore.core.ComponentLog
 import dev.bronzeshore.core.TableApi
 import dev.bronzeshore.core.WorkKind
 import dev.bronzeshore.core.WorkPlacer
@@ -43,7 +43,7 @@
     public val scope: CoroutineScope,
     public val kindOf: (plan: String, kind: String) -> WorkKind?,
     public val listeners: JobListeners = JobListeners(),
-    public val log: PartLog = PartLog("jobs"),
+    public val log: ComponentLog = ComponentLog("jobs"),
 ) {
     internal fun mayAct(): Boolean = clock() < authority.actUntilMs()
 }
--- a/jobs/src/main/kotlin/dev/bronzeshore/jobs/TaskDispatcher.kt
+++ b/jobs/src/main/kotlin/dev/bronzeshore/jobs/TaskDispatcher.kt
@@ -1,7 +1,7 @@
 /** Sends the placer's decisions to workers and takes their reports. */
 package dev.bronzeshore.jobs
 
-import dev.bronzeshore.core.CLOCK_DRIFT_MS
+import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 import dev.bronzeshore.core.Decisions
 import dev.bronzeshore.core.Fault
 import dev.bronzeshore.core.Outcome
@@ -142,7 +142,7 @@
 
     private fun onReport(session: WorkerSession, report: WorkerReport) {
         session.failedCalls = 0
-        val isFromThisTerm = report.observedAtMs > context.authority.previousOverAtMs + CLOCK_DRIFT_MS
+        val isFromThisTerm = report.observedAtMs > context.authority.previousOverAtMs + MAX_CLOCK_SKEW_MS
         if (!isFromThisTerm || report.observedAtMs < session.observedAtMs) return
         session.observedAtMs = report.observedAtMs
         session.reportedCapacity = report.capacity
@@ -155,7 +155,7 @@
     /** A start that its worker can no longer accept and does not list has not happened. */
     private fun giveUpUnlisted(session: WorkerSession, report: WorkerReport) {
         val listed = report.tasks.mapTo(HashSet()) { it.task }
-        session.parts().filter { report.observedAtMs > it.part.startBeforeMs + CLOCK_DRIFT_MS }.forEach { (job, part) ->
+        session.parts().filter { report.observedAtMs > it.part.startBeforeMs + MAX_CLOCK_SKEW_MS }.forEach { (job, part) ->
             val task = job.taskId(part)
             when {
                 task in listed -> Unit
@@ -169,7 +169,7 @@
     fun giveUpSilent() {
         val now = context.clock()
         sessions.all.toList().flatMap { it.parts() }
-            .filter { (_, part) -> part.isOnWorker && now > part.leaseUntilMs + 2 * CLOCK_DRIFT_MS }
+            .filter { (_, part) -> part.isOnWorker && now > part.leaseUntilMs + 2 * MAX_CLOCK_SKEW_MS }
             .forEach { (job, part) -> tracker.lose(job, part, job.taskId(part)) }
     }
 }
--- a/jobs/src/main/kotlin/dev/bronzeshore/jobs/WorkerSessions.kt
+++ b/jobs/src/main/kotlin/dev/bronzeshore/jobs/WorkerSessions.kt
@@ -1,7 +1,7 @@
 /** All workers of one data centre, and what the placer knows of them. */
 package dev.bronzeshore.jobs
 
-import dev.bronzeshore.core.CLOCK_DRIFT_MS
+import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 import dev.bronzeshore.core.PlacementWorker
 import dev.bronzeshore.core.Resources
 import dev.bronzeshore.core.TASK_LEASE_MS
@@ -52,7 +52,7 @@
                 session.lastLeaseUntilMs,
                 context.authority.previousOverAtMs + TASK_LEASE_MS,
             )
-            session.workerId !in wantedIds && now > lastUseMs + 2 * CLOCK_DRIFT_MS && session.parts().isEmpty()
+            session.workerId !in wantedIds && now > lastUseMs + 2 * MAX_CLOCK_SKEW_MS && session.parts().isEmpty()
         }
         ended.forEach {
             byId.remove(it.workerId)
--- a/jobs/src/test/kotlin/dev/bronzeshore/jobs/DataCentreJobsTest.kt
+++ b/jobs/src/test/kotlin/dev/bronzeshore/jobs/DataCentreJobsTest.kt
@@ -1,6 +1,6 @@
 package dev.bronzeshore.jobs
 
-import dev.bronzeshore.core.CLOCK_DRIFT_MS
+import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 import dev.bronzeshore.core.JobState
 import dev.bronzeshore.core.JobSubmission
 import dev.bronzeshore.core.Policy
@@ -150,7 +150,7 @@
     @Test
     fun `a new owner has recovered as soon as reports count`() = runTest {
         val (jobs, _) = Cell(this).takeOver()
-        advanceTimeBy(2 * CLOCK_DRIFT_MS + 100)
+        advanceTimeBy(2 * MAX_CLOCK_SKEW_MS + 100)
         assertTrue(jobs.isRecovered)
     }
 
@@ -163,7 +163,7 @@
         firstScope.cancel()
         cell.workers.first { it.startedTasks.isNotEmpty() }.isUnreachable = true
         cell.takeOver()
-        advanceTimeBy(TASK_LEASE_MS + 2 * CLOCK_DRIFT_MS - 1_000)
+        advanceTimeBy(TASK_LEASE_MS + 2 * MAX_CLOCK_SKEW_MS - 1_000)
         assertEquals(1, cell.workers.sumOf { it.startedTasks.size })
         advanceTimeBy(100_000)
         assertEquals(JobState.SUCCEEDED, cell.record(jobId).state)
--- a/jobs/src/test/kotlin/dev/bronzeshore/jobs/JobJournalTest.kt
+++ b/jobs/src/test/kotlin/dev/bronzeshore/jobs/JobJournalTest.kt
@@ -3,7 +3,7 @@
 import dev.bronzeshore.core.Condition
 import dev.bronzeshore.core.JobRecord
 import dev.bronzeshore.core.JobSubmission
-import dev.bronzeshore.core.PartLog
+import dev.bronzeshore.core.ComponentLog
 import dev.bronzeshore.core.Resources
 import dev.bronzeshore.core.ResultCode
 import dev.bronzeshore.core.Row
@@ -44,7 +44,7 @@
         cases.forEach { case ->
             runTest {
                 val table = table().apply { writeFaults.addAll(case.faults) }
-                val journal = JobJournal(table.api, fence, { currentTime }, PartLog("test"))
+                val journal = JobJournal(table.api, fence, { currentTime }, ComponentLog("test"))
                 backgroundScope.launch { journal.run() }
                 val result = journal.append(JournalEntry.acceptance(record("a"))).fold({ it.code }, { it })
                 assertEquals(case.expected, result, case.name)
@@ -56,7 +56,7 @@
     @Test
     fun `an existing row supersedes only its own entry`() = runTest {
         val table = table().apply { rows["job/a"] = Row("job/a", 1, "", "earlier") }
-        val journal = JobJournal(table.api, fence, { currentTime }, PartLog("test"))
+        val journal = JobJournal(table.api, fence, { currentTime }, ComponentLog("test"))
         val results = listOf("a", "b").map { async { journal.append(JournalEntry.acceptance(record(it))) } }
         backgroundScope.launch { journal.run() }
         assertEquals(listOf(AppendResult.Superseded, AppendResult.Written), results.map { it.await().getOrNull() })
@@ -66,7 +66,7 @@
     @Test
     fun `nothing is written after a takeover`() = runTest {
         val table = table().apply { rows[fence.key] = Row(fence.key, 2, "2", "next owner") }
-        val journal = JobJournal(table.api, fence, { currentTime }, PartLog("test"))
+        val journal = JobJournal(table.api, fence, { currentTime }, ComponentLog("test"))
         backgroundScope.launch { journal.run() }
         assertTrue(journal.append(JournalEntry.acceptance(record("a"))).isLeft())
         assertTrue("job/a" !in table.rows)
@@ -77,7 +77,7 @@
     fun `the write rate does not follow the job rate`() = runTest {
         val writes = listOf(10, 100).map { jobsPerSecond ->
             val table = table()
-            val journal = JobJournal(table.api, fence, { currentTime }, PartLog("test"))
+            val journal = JobJournal(table.api, fence, { currentTime }, ComponentLog("test"))
             val writer = backgroundScope.launch { journal.run() }
             repeat(jobsPerSecond) {
                 backgroundScope.launch { journal.append(JournalEntry.acceptance(record("$jobsPerSecond-$it"))) }
--- a/leadership/src/main/kotlin/dev/bronzeshore/leadership/LeaderElection.kt
+++ b/leadership/src/main/kotlin/dev/bronzeshore/leadership/LeaderElection.kt
@@ -121,7 +121,7 @@
     private var feedVersion = 0L
 
     private suspend fun readAll(): Boolean {
-        val page = store.readPage(RowRangeQuery(Tables.LEADER, Tables.LEADER_PART)).getOrNull() ?: return false
+        val page = store.readPage(RowRangeQuery(Tables.LEADER, Tables.LEADER_PARTITION)).getOrNull() ?: return false
         view.observe(page.rows)
         view.storeAnswered()
         feedVersion = page.version
@@ -161,11 +161,11 @@
             StoreTransaction(
                 conditions = listOf(
                     RowCondition(Tables.TERM_ROW, view.termVersion),
-                    RowCondition(Tables.BEAT_ROW, view.beatVersion),
+                    RowCondition(Tables.HEARTBEAT_ROW, view.beatVersion),
                 ),
                 writes = listOf(
                     RowWrite(Tables.TERM_ROW, encodeRow(TermRow.serializer(), term)),
-                    RowWrite(Tables.BEAT_ROW, encodeRow(BeatRow.serializer(), BeatRow(term.term, 0))),
+                    RowWrite(Tables.HEARTBEAT_ROW, encodeRow(BeatRow.serializer(), BeatRow(term.term, 0))),
                 ),
             ),
         )
@@ -228,7 +228,7 @@
 
     private fun beatWrite(term: LeaderTerm, isReleased: Boolean): RowWrite {
         val row = BeatRow(term.term, ++beatNumber, isReleased)
-        return RowWrite(Tables.BEAT_ROW, encodeRow(BeatRow.serializer(), row))
+        return RowWrite(Tables.HEARTBEAT_ROW, encodeRow(BeatRow.serializer(), row))
     }
 
     /** Ends the own term; called as well when a worker's fence or another process has shown a newer one. */
--- a/leadership/src/main/kotlin/dev/bronzeshore/leadership/LeaderView.kt
+++ b/leadership/src/main/kotlin/dev/bronzeshore/leadership/LeaderView.kt
@@ -6,7 +6,7 @@
 package dev.bronzeshore.leadership
 
 import dev.bronzeshore.core.ClockMs
-import dev.bronzeshore.core.PartLog
+import dev.bronzeshore.core.ComponentLog
 import dev.bronzeshore.core.cluster.LatencyEstimate
 import dev.bronzeshore.core.cluster.StoredRow
 import dev.bronzeshore.core.cluster.Tables
@@ -19,7 +19,7 @@
 private const val SILENT_BEATS = 2
 
 internal class LeaderView(private val processName: String, private val bootId: String, private val clock: ClockMs) {
-    private val log = PartLog("leadership")
+    private val log = ComponentLog("leadership")
     var term: TermRow? = null
         private set
     var termVersion: Long = 0
@@ -38,7 +38,7 @@
         for (row in rows) {
             when (row.id) {
                 Tables.TERM_ROW -> observeTerm(row)
-                Tables.BEAT_ROW -> observeBeat(row)
+                Tables.HEARTBEAT_ROW -> observeBeat(row)
             }
         }
     }
--- a/membership/src/main/kotlin/dev/bronzeshore/membership/Quarantine.kt
+++ b/membership/src/main/kotlin/dev/bronzeshore/membership/Quarantine.kt
@@ -2,7 +2,7 @@
 package dev.bronzeshore.membership
 
 import dev.bronzeshore.core.ClockMs
-import dev.bronzeshore.core.PartLog
+import dev.bronzeshore.core.ComponentLog
 import dev.bronzeshore.core.deadlineIn
 
 /**
@@ -26,7 +26,7 @@
  * control thread.
  */
 public class Quarantine(private val clock: ClockMs, private val evidence: FailureEvidence = FailureEvidence(clock)) {
-    private val log = PartLog("membership")
+    private val log = ComponentLog("membership")
     private val entries = LinkedHashMap<String, QuarantinedWorker>()
     private var workers: Set<String> = emptySet()
 
--- a/membership/src/main/kotlin/dev/bronzeshore/membership/VmView.kt
+++ b/membership/src/main/kotlin/dev/bronzeshore/membership/VmView.kt
@@ -1,10 +1,10 @@
 /** Merges the platform's lagging VM list with the operators' marks. */
 package dev.bronzeshore.membership
 
-import dev.bronzeshore.core.CLOCK_DRIFT_MS
+import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 import dev.bronzeshore.core.ClockMs
 import dev.bronzeshore.core.MarkedVm
-import dev.bronzeshore.core.PartLog
+import dev.bronzeshore.core.ComponentLog
 import dev.bronzeshore.core.TASK_LEASE_MS
 import dev.bronzeshore.core.Vm
 import dev.bronzeshore.core.VmMark
@@ -25,7 +25,7 @@
  * Not thread-safe: it belongs to the control thread.
  */
 public class VmView(private val clock: ClockMs, private val keepVanishedMs: Long = KEEP_VANISHED_MS) {
-    private val log = PartLog("membership")
+    private val log = ComponentLog("membership")
     private val known = HashMap<String, KnownVm>()
     private var marks: Map<String, VmMark> = emptyMap()
 
@@ -143,6 +143,6 @@
 
     public companion object {
         /** By then every task lease that was granted before the VM vanished has ended by the worker's clock. */
-        public const val KEEP_VANISHED_MS: Long = TASK_LEASE_MS + 2 * CLOCK_DRIFT_MS
+        public const val KEEP_VANISHED_MS: Long = TASK_LEASE_MS + 2 * MAX_CLOCK_SKEW_MS
     }
 }
--- a/ownership/src/main/kotlin/dev/bronzeshore/ownership/MemberDirectory.kt
+++ b/ownership/src/main/kotlin/dev/bronzeshore/ownership/MemberDirectory.kt
@@ -3,7 +3,7 @@
 
 import arrow.core.Either
 import arrow.core.raise.either
-import dev.bronzeshore.core.CLOCK_DRIFT_MS
+import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 import dev.bronzeshore.core.ClockMs
 import dev.bronzeshore.core.Fault
 import dev.bronzeshore.core.Put
@@ -52,7 +52,7 @@
         val rows = readAll().bind()
         val nowMs = clock()
         others = rows
-            .filter { it.member.processId != self.processId && nowMs < it.liveUntilMs + CLOCK_DRIFT_MS }
+            .filter { it.member.processId != self.processId && nowMs < it.liveUntilMs + MAX_CLOCK_SKEW_MS }
             .map { it.member }
         deleteOld(rows, nowMs)
         members
--- a/ownership/src/main/kotlin/dev/bronzeshore/ownership/OwnershipRules.kt
+++ b/ownership/src/main/kotlin/dev/bronzeshore/ownership/OwnershipRules.kt
@@ -1,12 +1,12 @@
 /** Safety rules of the ownership protocol as values, so that tests can show what each of them prevents. */
 package dev.bronzeshore.ownership
 
-import dev.bronzeshore.core.CLOCK_DRIFT_MS
+import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 
 /** Production uses the defaults. */
 internal data class OwnershipRules(
     /** Margin subtracted from own deadlines and added to those of others. */
-    val driftMs: Long = CLOCK_DRIFT_MS,
+    val driftMs: Long = MAX_CLOCK_SKEW_MS,
     /** A process with an unsettled takeover write makes no promises for that term. */
     val withdrawsBeforeTakeover: Boolean = true,
     /** A re-read that finds the old version does not settle a write: the write may still be on its way. */
--- a/ownership/src/test/kotlin/dev/bronzeshore/ownership/DataCentreOwnershipTest.kt
+++ b/ownership/src/test/kotlin/dev/bronzeshore/ownership/DataCentreOwnershipTest.kt
@@ -2,7 +2,7 @@
 
 import arrow.core.left
 import arrow.core.right
-import dev.bronzeshore.core.CLOCK_DRIFT_MS
+import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 import dev.bronzeshore.core.ResultCode
 import kotlinx.coroutines.CompletableDeferred
 import kotlinx.coroutines.launch
@@ -67,7 +67,7 @@
     @Test
     fun `a local process takes an unowned data centre and a deputy elsewhere in the region is named`() {
         start()
-        assertEquals(OwnershipState(true, 1, "a1", "b1", nowMs + LEASE_MS - CLOCK_DRIFT_MS), owner.state)
+        assertEquals(OwnershipState(true, 1, "a1", "b1", nowMs + LEASE_MS - MAX_CLOCK_SKEW_MS), owner.state)
         assertFalse(deputy.mayAct())
     }
 
@@ -100,7 +100,7 @@
         nowMs += 2_000
         runBlocking {
             val tick = launch { owner.tick() }
-            while (owner.actUntilMs != nowMs + LEASE_MS - CLOCK_DRIFT_MS) yield()
+            while (owner.actUntilMs != nowMs + LEASE_MS - MAX_CLOCK_SKEW_MS) yield()
             release.complete(Unit)
             tick.join()
         }
@@ -133,7 +133,7 @@
             deputy.onHandOver(message)
         }
         assertTrue(deputy.mayAct())
-        assertEquals("b1" to Gained(2, nowMs + LEASE_MS + CLOCK_DRIFT_MS), gained.last())
+        assertEquals("b1" to Gained(2, nowMs + LEASE_MS + MAX_CLOCK_SKEW_MS), gained.last())
     }
 
     @Test
--- a/ownership/src/test/kotlin/dev/bronzeshore/ownership/OwnershipFiguresTest.kt
+++ b/ownership/src/test/kotlin/dev/bronzeshore/ownership/OwnershipFiguresTest.kt
@@ -1,6 +1,6 @@
 package dev.bronzeshore.ownership
 
-import dev.bronzeshore.core.CLOCK_DRIFT_MS
+import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -8,7 +8,7 @@
 /** Times without an owner for docs/decisions/0001-ownership.md, with the periods of production. */
 class OwnershipFiguresTest {
     /** Alternative (a): no promise counts, and any process may take over after the lease. */
-    private val leaseOnly = OwnershipRules(promiseHorizonMs = 0, takeoverHorizonMs = CLOCK_DRIFT_MS)
+    private val leaseOnly = OwnershipRules(promiseHorizonMs = 0, takeoverHorizonMs = MAX_CLOCK_SKEW_MS)
     private val withDeputy = OwnershipRules()
 
     /** Starts a run without messages that are late and returns it with a fault at a time that depends on the seed. */
--- a/ownership/src/test/kotlin/dev/bronzeshore/ownership/SimProcess.kt
+++ b/ownership/src/test/kotlin/dev/bronzeshore/ownership/SimProcess.kt
@@ -1,12 +1,12 @@
 /** One process of the ownership simulation, and the judge that watches all of them. */
 package dev.bronzeshore.ownership
 
-import dev.bronzeshore.core.CLOCK_DRIFT_MS
+import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 
 internal const val DATA_CENTRE = "a"
 
 /** Two clocks at opposite ends differ by the largest difference that the rules allow for. */
-internal const val LARGEST_OFFSET_MS = CLOCK_DRIFT_MS / 2
+internal const val LARGEST_OFFSET_MS = MAX_CLOCK_SKEW_MS / 2
 
 internal class SimProcess(val member: Member, var offsetMs: Long) {
     lateinit var machine: OwnershipMachine
--- a/peering/src/main/kotlin/dev/bronzeshore/peering/PeerServer.kt
+++ b/peering/src/main/kotlin/dev/bronzeshore/peering/PeerServer.kt
@@ -3,7 +3,7 @@
 
 import dev.bronzeshore.core.ClockMs
 import dev.bronzeshore.core.Fault
-import dev.bronzeshore.core.PartLog
+import dev.bronzeshore.core.ComponentLog
 import dev.bronzeshore.core.ResultCode
 import io.ktor.network.selector.SelectorManager
 import io.ktor.network.sockets.InetSocketAddress
@@ -26,7 +26,7 @@
     private val selector: SelectorManager,
     private val clock: ClockMs,
     private val handlers: List<CallHandler>,
-    private val log: PartLog = PartLog("peering"),
+    private val log: ComponentLog = ComponentLog("peering"),
 ) {
     private val handlersByCall = handlers.associateBy { it.call }
 
--- a/plans/src/main/kotlin/dev/bronzeshore/plans/ConfigurationHolder.kt
+++ b/plans/src/main/kotlin/dev/bronzeshore/plans/ConfigurationHolder.kt
@@ -2,7 +2,7 @@
 package dev.bronzeshore.plans
 
 import dev.bronzeshore.core.Configuration
-import dev.bronzeshore.core.PartLog
+import dev.bronzeshore.core.ComponentLog
 
 /** Called on the control thread after a configuration was taken. */
 public typealias ConfigurationListener = (configuration: Configuration) -> Unit
@@ -13,7 +13,7 @@
  * Not thread-safe: it belongs to the control thread.
  */
 public class ConfigurationHolder {
-    private val log = PartLog("plans")
+    private val log = ComponentLog("plans")
     private val listeners = ArrayList<ConfigurationListener>()
 
     /** The configuration in force; [Configuration.EMPTY] until one is known. */
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/SlotHolder.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/SlotHolder.kt
@@ -1,7 +1,7 @@
 /** What the owner knows about one process that holds slots. */
 package dev.bronzeshore.requests
 
-import dev.bronzeshore.core.CLOCK_DRIFT_MS
+import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 
 /** Slots granted in one answer. */
 internal class SlotGrant(val id: Long, val untilMs: Long, val slots: Map<SlotKey, Int>)
@@ -39,7 +39,7 @@
     }
 
     /** True once nothing of the process counts any longer. */
-    fun isExpired(nowMs: Long): Boolean = nowMs >= heldUntilMs + CLOCK_DRIFT_MS
+    fun isExpired(nowMs: Long): Boolean = nowMs >= heldUntilMs + MAX_CLOCK_SKEW_MS
 
     fun inUse(key: SlotKey): Int = inUse[key] ?: 0
 
--- a/requests/src/test/kotlin/dev/bronzeshore/requests/AllotmentLedgerTest.kt
+++ b/requests/src/test/kotlin/dev/bronzeshore/requests/AllotmentLedgerTest.kt
@@ -1,7 +1,7 @@
 package dev.bronzeshore.requests
 
 import dev.bronzeshore.core.Allowance
-import dev.bronzeshore.core.CLOCK_DRIFT_MS
+import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 import dev.bronzeshore.core.Resources
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -73,7 +73,7 @@
         val grantedAtMs = nowMs + 1
         val held = ask("p1", 8).slots()
         assertEquals(8, held)
-        nowMs = grantedAtMs + GRANT_MS + CLOCK_DRIFT_MS - 2
+        nowMs = grantedAtMs + GRANT_MS + MAX_CLOCK_SKEW_MS - 2
         assertEquals(0, ask("p2", 8).slots())
         assertEquals(8, ask("p2", 8).slots())
     }
--- a/requests/src/test/kotlin/dev/bronzeshore/requests/SlotSafetyTest.kt
+++ b/requests/src/test/kotlin/dev/bronzeshore/requests/SlotSafetyTest.kt
@@ -1,7 +1,7 @@
 package dev.bronzeshore.requests
 
 import dev.bronzeshore.core.Allowance
-import dev.bronzeshore.core.CLOCK_DRIFT_MS
+import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 import dev.bronzeshore.core.Resources
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.params.ParameterizedTest
@@ -44,7 +44,7 @@
 
         private fun newProcess() {
             // Pools differ from the owner by up to half the drift, so any two clocks differ by at most the drift.
-            val skewMs = random.nextLong(-CLOCK_DRIFT_MS / 2, CLOCK_DRIFT_MS / 2 + 1)
+            val skewMs = random.nextLong(-MAX_CLOCK_SKEW_MS / 2, MAX_CLOCK_SKEW_MS / 2 + 1)
             processes += Process("p${born++}", skewMs, { nowMs }, random)
         }
 
@@ -129,7 +129,7 @@
 
         /** A takeover: the new ledger is created after the old owner's deadline; requests in flight have ended. */
         private fun changeOwner() {
-            nowMs = actUntilMs + 2 * CLOCK_DRIFT_MS
+            nowMs = actUntilMs + 2 * MAX_CLOCK_SKEW_MS
             processes.forEach { process -> while (process.leases.isNotEmpty()) release(process) }
             ledger = newLedger()
         }
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/AdviceDesk.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/AdviceDesk.kt
@@ -8,7 +8,7 @@
 
 import dev.bronzeshore.core.cluster.AdviceTicket
 import dev.bronzeshore.core.cluster.StepName
-import dev.bronzeshore.core.cluster.WorkerLife
+import dev.bronzeshore.core.cluster.WorkerIncarnation
 import kotlinx.coroutines.launch
 
 /** A process that can call the advice service. */
@@ -62,16 +62,16 @@
         step.job.terms.advice?.let { it.decisionMs + it.perWorkerMs * workers } ?: 0.0
 
     /** All eligible workers the first time; afterwards those that may run the step and those not asked for yet. */
-    private fun workersToAsk(step: TrackedStep, now: Long): List<WorkerLife> {
+    private fun workersToAsk(step: TrackedStep, now: Long): List<WorkerIncarnation> {
         val advice = step.advice
         return eligible(step)
-            .filter { !advice.isAsked(it.life) || advice.mayRunOn(it.life) && advice.ticketFor(it.life, now) == null }
+            .filter { !advice.isAsked(it.incarnation) || advice.mayRunOn(it.incarnation) && advice.ticketFor(it.incarnation, now) == null }
             .sortedByDescending { it.free.processorsMillicores }
             .take(MAX_WORKERS_IN_CALL)
-            .map { it.life }
+            .map { it.incarnation }
     }
 
-    private fun send(caller: AdviceCaller, step: TrackedStep, workers: List<WorkerLife>, isLong: Boolean) {
+    private fun send(caller: AdviceCaller, step: TrackedStep, workers: List<WorkerIncarnation>, isLong: Boolean) {
         busy += caller.name
         if (isLong) busyWithLong += caller.name
         step.advice.isInFlight = true
@@ -88,7 +88,7 @@
         }
     }
 
-    private fun take(caller: AdviceCaller, step: TrackedStep, workers: List<WorkerLife>, answer: List<AdviceTicket>?) {
+    private fun take(caller: AdviceCaller, step: TrackedStep, workers: List<WorkerIncarnation>, answer: List<AdviceTicket>?) {
         val now = context.clock()
         if (answer == null) {
             step.advice.notBeforeMs = now + RETRY_PAUSE_MS
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/Fleet.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/Fleet.kt
@@ -4,20 +4,20 @@
 import dev.bronzeshore.core.cluster.TaskName
 import dev.bronzeshore.core.cluster.TaskRun
 import dev.bronzeshore.core.cluster.WorkerEntry
-import dev.bronzeshore.core.cluster.WorkerLife
+import dev.bronzeshore.core.cluster.WorkerIncarnation
 
 internal class Fleet {
     val speeds = SpeedBook()
-    private val byLife = LinkedHashMap<WorkerLife, TrackedWorker>()
+    private val byLife = LinkedHashMap<WorkerIncarnation, TrackedWorker>()
 
     val workers: Collection<TrackedWorker> get() = byLife.values
 
-    fun find(life: WorkerLife): TrackedWorker? = byLife[life]
+    fun find(incarnation: WorkerIncarnation): TrackedWorker? = byLife[incarnation]
 
-    fun add(entry: WorkerEntry): TrackedWorker = TrackedWorker(entry).also { byLife[entry.life] = it }
+    fun add(entry: WorkerEntry): TrackedWorker = TrackedWorker(entry).also { byLife[entry.incarnation] = it }
 
     fun remove(worker: TrackedWorker) {
-        byLife.remove(worker.life)
+        byLife.remove(worker.incarnation)
     }
 
     fun livesOf(workerId: String): List<TrackedWorker> = byLife.values.filter { it.id == workerId }
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/JobLookup.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/JobLookup.kt
@@ -26,7 +26,7 @@
         context.book.find(jobId) != null || context.book.isEnded(jobId) || jobId in absentJobs
 
     private suspend fun read(jobId: String) {
-        val query = Tables.rowsOfJob(Tables.INTAKE, Tables.intakePartOf(jobId), jobId)
+        val query = Tables.rowsOfJob(Tables.INTAKE, Tables.intakePartitionOf(jobId), jobId)
         context.store.readPage(query).fold(
             ifLeft = { context.log.event("job_lookup", "job" to jobId, "outcome" to it) },
             ifRight = { take(jobId, it) },
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/Planner.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/Planner.kt
@@ -93,7 +93,7 @@
             if (tasks.isEmpty() || step.description.isGang && tasks.size < step.tasks.size) return
             val workers = workersFor(step)
             if (step.job.terms.advice != null &&
-                workers.any { !step.advice.isAsked(it.life) } &&
+                workers.any { !step.advice.isAsked(it.incarnation) } &&
                 !step.advice.isKnown
             ) {
                 adviceNeeded += step
@@ -109,7 +109,7 @@
         }
 
         private fun TrackedStep.needsMoreAdvice(workers: List<TrackedWorker>) =
-            job.terms.advice != null && workers.any { !advice.isAsked(it.life) }
+            job.terms.advice != null && workers.any { !advice.isAsked(it.incarnation) }
 
         private fun workersFor(step: TrackedStep): List<TrackedWorker> {
             val service = step.job.terms.service
@@ -122,7 +122,7 @@
             tasks: List<TrackedTask>,
             workers: List<TrackedWorker>,
         ): List<Pair<TrackedTask, TrackedWorker>> {
-            val allowed = workers.filter { step.job.terms.advice == null || step.advice.mayRunOn(it.life) }
+            val allowed = workers.filter { step.job.terms.advice == null || step.advice.mayRunOn(it.incarnation) }
             val local = RoomView().also { copy -> allowed.forEach { copy.take(it, it.free - room.free(it)) } }
             val onWorker = HashMap<TrackedWorker, Int>()
             step.tasks.mapNotNull { it.placement?.worker }.forEach { onWorker.merge(it, 1, Int::plus) }
@@ -173,14 +173,14 @@
         private fun startOrAsk(step: TrackedStep, chosen: List<Pair<TrackedTask, TrackedWorker>>) {
             chosen.forEach { (_, worker) -> room.take(worker, step.room) }
             val needsTicket = step.job.terms.advice != null
-            val ready = chosen.filter { (_, worker) -> !needsTicket || step.advice.ticketFor(worker.life, now) != null }
+            val ready = chosen.filter { (_, worker) -> !needsTicket || step.advice.ticketFor(worker.incarnation, now) != null }
             val isStarting = ready.size == chosen.size || !step.description.isGang
             if (ready.size < chosen.size) adviceNeeded += step
             if (!isStarting) return
             val run = nextRun(step)
             ready.mapTo(starts) { (task, worker) ->
                 val number = if (step.description.isGang) run else maxOf(task.lastRun + 1, firstRun())
-                PlannedStart(task, worker, number, step.advice.ticketFor(worker.life, now))
+                PlannedStart(task, worker, number, step.advice.ticketFor(worker.incarnation, now))
             }
         }
 
@@ -191,7 +191,7 @@
         /** Keeps free room for a gang that does not fit now, if it can ever fit on the workers that may run it. */
         private fun waitAsGang(step: TrackedStep, count: Int, workers: List<TrackedWorker>) {
             if (step.needsMoreAdvice(workers)) adviceNeeded += step
-            val allowed = workers.filter { step.job.terms.advice == null || step.advice.mayRunOn(it.life) }
+            val allowed = workers.filter { step.job.terms.advice == null || step.advice.mayRunOn(it.incarnation) }
             val couldFit = allowed.sumOf { step.room.countIn(it.entry.capacity).coerceAtMost(count).toLong() }
             if (couldFit < count || waitingGangs >= MAX_WAITING_GANGS) return
             waitingGangs++
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/Recovery.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/Recovery.kt
@@ -36,12 +36,12 @@
     /** Reads what former leaders stored and starts the sessions with the workers. */
     suspend fun load(): LoadedVersions {
         val startedAtMs = context.clock()
-        val tables = listOf(dependencies.workerTable, Tables.LEADER_NOTES, Tables.PROGRESS, Tables.INTAKE)
+        val tables = listOf(dependencies.workerTable, Tables.LEADER_STATE, Tables.PROGRESS, Tables.INTAKE)
         val contents = coroutineScope {
             tables.map { table -> async { table to untilRead { reader.readTable(table) } } }.awaitAll().toMap()
         }
         val workers = contents.getValue(dependencies.workerTable)
-        val notes = contents.getValue(Tables.LEADER_NOTES)
+        val notes = contents.getValue(Tables.LEADER_STATE)
         val progress = contents.getValue(Tables.PROGRESS)
         val intake = contents.getValue(Tables.INTAKE)
         val roster = notes.rows.firstOrNull { it.id == Tables.ROSTER_ROW }?.value
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/RowCollector.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/RowCollector.kt
@@ -36,7 +36,7 @@
     /** Deletes the accepted rows of jobs whose end is stored. */
     suspend fun trim() {
         val ended = context.book.allJobs.filter { !it.isOpen && it.savedPhase.isEnded && it.id !in trimmed }
-        for (jobs in ended.map { it.id }.groupBy { Tables.intakePartOf(it) }.values) {
+        for (jobs in ended.map { it.id }.groupBy { Tables.intakePartitionOf(it) }.values) {
             trimmed += deleteAccepted(jobs.take(MAX_JOBS_AT_A_TIME))
         }
     }
@@ -45,7 +45,7 @@
     suspend fun collect() {
         val before = context.timeOfDay() - context.bounds.statusRetentionMs - RETENTION_MARGIN_MS
         val expired = context.book.endedBefore(before).take(MAX_JOBS_AT_A_TIME)
-        val collected = expired.groupBy { Tables.intakePartOf(it) }.values.flatMap { deleteAccepted(it) }
+        val collected = expired.groupBy { Tables.intakePartitionOf(it) }.values.flatMap { deleteAccepted(it) }
         if (collected.isEmpty() || !deleteProgress(collected)) return
         collected.forEach { context.book.forget(it) }
         trimmed -= collected.toSet()
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/StepAdvice.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/StepAdvice.kt
@@ -2,7 +2,7 @@
 package dev.bronzeshore.scheduler
 
 import dev.bronzeshore.core.cluster.AdviceTicket
-import dev.bronzeshore.core.cluster.WorkerLife
+import dev.bronzeshore.core.cluster.WorkerIncarnation
 
 /** A ticket and the steady time until which a start may carry it. */
 internal data class HeldTicket(val ticket: String, val validUntilMs: Long)
@@ -13,8 +13,8 @@
  * A worker that starts again may be of another kind, so both are kept for each life of a worker.
  */
 internal class StepAdvice {
-    private val tickets = HashMap<WorkerLife, HeldTicket>()
-    private val asked = HashSet<WorkerLife>()
+    private val tickets = HashMap<WorkerIncarnation, HeldTicket>()
+    private val asked = HashSet<WorkerIncarnation>()
     var isInFlight: Boolean = false
 
     /** Not asked again before this steady time, after a call that failed. */
@@ -22,24 +22,24 @@
 
     val isKnown: Boolean get() = asked.isNotEmpty()
 
-    fun isAsked(life: WorkerLife): Boolean = life in asked
+    fun isAsked(incarnation: WorkerIncarnation): Boolean = incarnation in asked
 
-    fun mayRunOn(life: WorkerLife): Boolean = life in tickets
+    fun mayRunOn(incarnation: WorkerIncarnation): Boolean = incarnation in tickets
 
-    fun ticketFor(life: WorkerLife, nowMs: Long): String? = tickets[life]?.takeIf { it.validUntilMs > nowMs }?.ticket
+    fun ticketFor(incarnation: WorkerIncarnation, nowMs: Long): String? = tickets[incarnation]?.takeIf { it.validUntilMs > nowMs }?.ticket
 
     /** Takes in an answer, which leaves out the workers that may not run the step. */
-    fun record(askedWorkers: List<WorkerLife>, answer: List<AdviceTicket>, validUntilMs: Long) {
+    fun record(askedWorkers: List<WorkerIncarnation>, answer: List<AdviceTicket>, validUntilMs: Long) {
         asked += askedWorkers
         val ticketOf = answer.associate { it.workerId to it.ticket }
-        for (life in askedWorkers) {
-            val ticket = ticketOf[life.workerId]
-            if (ticket == null) tickets.remove(life) else tickets[life] = HeldTicket(ticket, validUntilMs)
+        for (incarnation in askedWorkers) {
+            val ticket = ticketOf[incarnation.workerId]
+            if (ticket == null) tickets.remove(incarnation) else tickets[incarnation] = HeldTicket(ticket, validUntilMs)
         }
     }
 
     /** The worker refused the ticket, for instance because it has started again. */
-    fun expire(life: WorkerLife) {
-        tickets.computeIfPresent(life) { _, held -> held.copy(validUntilMs = Long.MIN_VALUE) }
+    fun expire(incarnation: WorkerIncarnation) {
+        tickets.computeIfPresent(incarnation) { _, held -> held.copy(validUntilMs = Long.MIN_VALUE) }
     }
 }
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/TableReader.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/TableReader.kt
@@ -41,9 +41,9 @@
     }
 
     private fun partsOf(table: String): List<String> = when (table) {
-        Tables.INTAKE -> Tables.INTAKE_PARTS
-        Tables.PROGRESS, Tables.LEADER_NOTES, Tables.LEADER -> listOf(Tables.LEADER_PART)
-        Tables.NODES -> listOf(Tables.NODES_PART)
+        Tables.INTAKE -> Tables.INTAKE_PARTITIONS
+        Tables.PROGRESS, Tables.LEADER_STATE, Tables.LEADER -> listOf(Tables.LEADER_PARTITION)
+        Tables.NODES -> listOf(Tables.NODES_PARTITION)
         else -> listOf("")
     }
 }
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/TaskStarter.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/TaskStarter.kt
@@ -6,7 +6,7 @@
  */
 package dev.bronzeshore.scheduler
 
-import dev.bronzeshore.core.cluster.StartOrder
+import dev.bronzeshore.core.cluster.StartRequest
 import dev.bronzeshore.core.cluster.StartResult
 import dev.bronzeshore.core.cluster.TaskRun
 import kotlinx.coroutines.launch
@@ -61,12 +61,12 @@
         if (placement.task.step.description.isGang) stopGang(placement.task.step, "a member's start got no answer")
     }
 
-    private fun orderFor(placement: Placement, ticket: String?): StartOrder {
+    private fun orderFor(placement: Placement, ticket: String?): StartRequest {
         val worker = placement.worker
         val validUntil = worker.clock.nowOnWorker(context.clock()) + START_VALID_MS
         placement.orderSent(validUntil)
         worker.clock.extendLease(validUntil)
-        return StartOrder(
+        return StartRequest(
             placement.run,
             placement.task.step.job.accepted.description.payload,
             validUntil,
@@ -105,7 +105,7 @@
 
     private suspend fun react(placement: Placement, result: StartResult) = when (result) {
         StartResult.FENCED -> context.onDeposed()
-        StartResult.BAD_TICKET -> placement.task.step.advice.expire(placement.worker.life)
+        StartResult.BAD_TICKET -> placement.task.step.advice.expire(placement.worker.incarnation)
         StartResult.UNHEALTHY, StartResult.NO_ROOM -> pause(placement.worker)
         StartResult.NOT_SENT, StartResult.OTHER_WORKER -> suspect(placement.worker)
         else -> Unit
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/TrackedWorker.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/TrackedWorker.kt
@@ -4,14 +4,14 @@
 import dev.bronzeshore.core.Resources
 import dev.bronzeshore.core.cluster.TaskRun
 import dev.bronzeshore.core.cluster.WorkerEntry
-import dev.bronzeshore.core.cluster.WorkerLife
+import dev.bronzeshore.core.cluster.WorkerIncarnation
 
 /** An end that waits until the progress of its job is stored. */
 internal data class UnsavedEnd(val number: Long, val changeNumber: Long)
 
 internal class TrackedWorker(var entry: WorkerEntry) {
-    val life: WorkerLife = entry.life
-    val id: String get() = life.workerId
+    val incarnation: WorkerIncarnation = entry.incarnation
+    val id: String get() = incarnation.workerId
     val clock = WorkerClock()
 
     /** Runs that the leader ordered or adopted. */
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/WorkerRegistry.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/WorkerRegistry.kt
@@ -5,7 +5,7 @@
 import dev.bronzeshore.core.cluster.RosterWorker
 import dev.bronzeshore.core.cluster.WorkerChange
 import dev.bronzeshore.core.cluster.WorkerEntry
-import dev.bronzeshore.core.cluster.WorkerLife
+import dev.bronzeshore.core.cluster.WorkerIncarnation
 import kotlinx.coroutines.launch
 
 /** Error of the clocks and of the way of an order, added to the time after which a lease is over. */
@@ -46,14 +46,14 @@
 
     /** Adds a worker on which a former leader may have started tasks. */
     fun addFormer(worker: RosterWorker) {
-        val life = WorkerLife(worker.workerId, worker.startedAtMs)
-        context.fleet.find(life)?.let { known ->
+        val incarnation = WorkerIncarnation(worker.workerId, worker.startedAtMs)
+        context.fleet.find(incarnation)?.let { known ->
             formerWorkers[known] = worker.heldJobs
             return
         }
-        if (context.fleet.livesOf(life.workerId).any { it.life.startedAtMs > life.startedAtMs }) return
+        if (context.fleet.livesOf(incarnation.workerId).any { it.incarnation.startedAtMs > incarnation.startedAtMs }) return
         val entry = WorkerEntry(
-            life,
+            incarnation,
             worker.service,
             worker.address,
             dataCentre = "",
@@ -71,17 +71,17 @@
     /** Adds the workers that were listed when the term began; a former leader may have used each of them. */
     fun addListed(change: WorkerChange) {
         apply(change)
-        change.entry?.let { context.fleet.find(it.life) }?.let { formerWorkers[it] = null }
+        change.entry?.let { context.fleet.find(it.incarnation) }?.let { formerWorkers[it] = null }
     }
 
     fun apply(change: WorkerChange) {
         val entry = change.entry
         if (entry == null) return context.fleet.livesOf(change.workerId).forEach { unlist(it) }
         for (older in context.fleet.livesOf(change.workerId)) {
-            if (older.life.startedAtMs > entry.life.startedAtMs) return
-            if (older.life.startedAtMs < entry.life.startedAtMs) end(older, "the worker has started again")
+            if (older.incarnation.startedAtMs > entry.incarnation.startedAtMs) return
+            if (older.incarnation.startedAtMs < entry.incarnation.startedAtMs) end(older, "the worker has started again")
         }
-        val known = context.fleet.find(entry.life) ?: return add(entry).let { }
+        val known = context.fleet.find(entry.incarnation) ?: return add(entry).let { }
         if (known.entry.isDraining !=
             entry.isDraining
         ) {
@@ -97,7 +97,7 @@
         context.log.event(
             "worker_added",
             "worker" to worker.id,
-            "started_at_ms" to worker.life.startedAtMs,
+            "started_at_ms" to worker.incarnation.startedAtMs,
             "address" to entry.address,
         )
         val session = WorkerSession(context, worker, reports, jobs, ::reborn)
@@ -116,9 +116,9 @@
 
     private fun reborn(worker: TrackedWorker, startedAtMs: Long) {
         if (worker.isGone) return
-        val entry = worker.entry.copy(life = WorkerLife(worker.id, startedAtMs), isDraining = false)
+        val entry = worker.entry.copy(incarnation = WorkerIncarnation(worker.id, startedAtMs), isDraining = false)
         end(worker, "the worker says that it has started again")
-        if (context.fleet.find(entry.life) == null) add(entry)
+        if (context.fleet.find(entry.incarnation) == null) add(entry)
     }
 
     /** Ends workers whose leases are certainly over and that do not answer. */
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/WorkerSession.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/WorkerSession.kt
@@ -7,7 +7,7 @@
 package dev.bronzeshore.scheduler
 
 import dev.bronzeshore.core.cluster.HoldAnswer
-import dev.bronzeshore.core.cluster.HoldOrder
+import dev.bronzeshore.core.cluster.HoldRequest
 import kotlinx.coroutines.delay
 
 /** Longest wait for an end; a longer one would notice stalled tasks and lost workers later. */
@@ -40,7 +40,7 @@
         val requestedAtMs = context.clock()
         context.metrics.look()
         when (val answer = context.calls.hold(worker.entry, orderAt(requestedAtMs).copy(waitMs = 0))) {
-            is HoldAnswer.Report -> if (answer.startedAtMs == worker.life.startedAtMs && jobs.knowsJobsOf(answer)) {
+            is HoldAnswer.Report -> if (answer.startedAtMs == worker.incarnation.startedAtMs && jobs.knowsJobsOf(answer)) {
                 reports.handle(worker, answer, requestedAtMs)
             }
 
@@ -71,20 +71,20 @@
         }
     }
 
-    private fun orderAt(now: Long): HoldOrder {
+    private fun orderAt(now: Long): HoldRequest {
         worker.acknowledge(context.savedChange)
         // A look that may get no answer grants no lease: otherwise the leases of a lost worker would never be over.
         val isGranted = worker.clock.isKnown && worker.isReachable
         val leaseUntil = if (isGranted) worker.clock.nowOnWorker(now) + context.bounds.maxLeaseMs else null
         leaseUntil?.let { worker.clock.extendLease(it) }
         val waitMs = if (worker.isContacted && worker.unsavedEnds.isEmpty()) LOOK_WAIT_MS else 0
-        return HoldOrder(context.term, worker.acknowledgedEnd, leaseUntil, waitMs)
+        return HoldRequest(context.term, worker.acknowledgedEnd, leaseUntil, waitMs)
     }
 
     private suspend fun takeReport(report: HoldAnswer.Report, requestedAtMs: Long) {
         val startedAtMs = report.startedAtMs
-        if (startedAtMs != null && worker.life.startedAtMs != 0L && startedAtMs != worker.life.startedAtMs) {
-            if (startedAtMs > worker.life.startedAtMs) onReborn(worker, startedAtMs)
+        if (startedAtMs != null && worker.incarnation.startedAtMs != 0L && startedAtMs != worker.incarnation.startedAtMs) {
+            if (startedAtMs > worker.incarnation.startedAtMs) onReborn(worker, startedAtMs)
             return delay(RETRY_MS)
         }
         failures = 0
--- a/scheduler/src/test/kotlin/dev/bronzeshore/scheduler/PlannerPartsTest.kt
+++ b/scheduler/src/test/kotlin/dev/bronzeshore/scheduler/PlannerPartsTest.kt
@@ -9,7 +9,7 @@
 import dev.bronzeshore.core.cluster.StepDescription
 import dev.bronzeshore.core.cluster.TaskRun
 import dev.bronzeshore.core.cluster.WorkerEntry
-import dev.bronzeshore.core.cluster.WorkerLife
+import dev.bronzeshore.core.cluster.WorkerIncarnation
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertNull
@@ -34,7 +34,7 @@
     }
 
     private fun worker(id: String) = TrackedWorker(
-        WorkerEntry(WorkerLife(id, 1), SERVICE, "$id:1", "dc", false, WORKER_CAPACITY, emptySet(), null),
+        WorkerEntry(WorkerIncarnation(id, 1), SERVICE, "$id:1", "dc", false, WORKER_CAPACITY, emptySet(), null),
     )
 
     /** Guards against late work that delays work which can still end in time. */
@@ -100,8 +100,8 @@
         assertTrue(abs(book.slownessOf(fast)) < 1.0)
     }
 
-    private val lifeA = WorkerLife("a", 1)
-    private val lifeB = WorkerLife("b", 1)
+    private val lifeA = WorkerIncarnation("a", 1)
+    private val lifeB = WorkerIncarnation("b", 1)
 
     /** Guards against a ticket that is used after its validity or after the worker refused it. */
     @Test
@@ -121,7 +121,7 @@
     fun `a worker that starts again is asked for anew`() {
         val advice = StepAdvice()
         advice.record(listOf(lifeA), listOf(AdviceTicket("a", "t")), validUntilMs = 100)
-        val secondLife = WorkerLife("a", 2)
+        val secondLife = WorkerIncarnation("a", 2)
         assertFalse(advice.isAsked(secondLife))
         assertFalse(advice.mayRunOn(secondLife))
         advice.record(listOf(secondLife), emptyList(), validUntilMs = 200)
--- a/server/src/main/kotlin/dev/bronzeshore/server/AllotmentLoop.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/AllotmentLoop.kt
@@ -1,7 +1,7 @@
 /** Keeps this process supplied with endpoint slots from the owners of all data centres. */
 package dev.bronzeshore.server
 
-import dev.bronzeshore.core.PartLog
+import dev.bronzeshore.core.ComponentLog
 import dev.bronzeshore.requests.Allotments
 import dev.bronzeshore.requests.RequestRouter
 
@@ -14,7 +14,7 @@
     private val dataCentres: DataCentres,
     private val processId: String,
 ) {
-    private val log = PartLog("requests")
+    private val log = ComponentLog("requests")
 
     /** Asks one owner; without an answer the slots held so far run out at their deadline. */
     suspend fun refresh(dataCentre: String) {
--- a/server/src/main/kotlin/dev/bronzeshore/server/BronzeshoreProcess.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/BronzeshoreProcess.kt
@@ -7,7 +7,7 @@
 import dev.bronzeshore.core.ClockMs
 import dev.bronzeshore.core.Configuration
 import dev.bronzeshore.core.OwnedDataCentre
-import dev.bronzeshore.core.PartLog
+import dev.bronzeshore.core.ComponentLog
 import dev.bronzeshore.core.ProcessStatus
 import dev.bronzeshore.core.WorkKind
 import dev.bronzeshore.jobs.JobListeners
@@ -59,7 +59,7 @@
     private val control: CoroutineDispatcher,
     private val onFatal: (Throwable) -> Unit,
 ) {
-    private val log = PartLog("server")
+    private val log = ComponentLog("server")
     private val fatalHandler = CoroutineExceptionHandler { _, failure -> onFatal(failure) }
     private val controlScope = CoroutineScope(control + SupervisorJob() + fatalHandler)
     private val trafficScope = CoroutineScope(Dispatchers.IO + SupervisorJob())
--- a/server/src/main/kotlin/dev/bronzeshore/server/Fleet.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/Fleet.kt
@@ -3,7 +3,7 @@
 
 import dev.bronzeshore.core.ClockMs
 import dev.bronzeshore.core.MarkedVm
-import dev.bronzeshore.core.PartLog
+import dev.bronzeshore.core.ComponentLog
 import dev.bronzeshore.core.Vm
 import dev.bronzeshore.core.VmMark
 import dev.bronzeshore.core.VmRole
@@ -17,7 +17,7 @@
 
 /** Used on the control thread only. */
 internal class Fleet(private val clock: ClockMs, private val readList: VmListApi) {
-    private val log = PartLog("membership")
+    private val log = ComponentLog("membership")
     private val view = VmView(clock)
     private val quarantines = HashMap<String, Quarantine>()
     private val dataCentreOf = HashMap<String, String>()
--- a/server/src/main/kotlin/dev/bronzeshore/server/OperatorRoutes.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/OperatorRoutes.kt
@@ -16,7 +16,7 @@
 import dev.bronzeshore.core.ProcessStatus
 import dev.bronzeshore.core.ResultCode
 import dev.bronzeshore.core.VmStatus
-import dev.bronzeshore.core.Why
+import dev.bronzeshore.core.JobExplanation
 import dev.bronzeshore.core.isFinal
 import dev.bronzeshore.plans.DocumentReader
 import io.ktor.http.HttpStatusCode
@@ -100,20 +100,20 @@
         }
     }
     get("/v1/jobs/{id}/why") {
-        process.answer(call, Why.serializer()) {
+        process.answer(call, JobExplanation.serializer()) {
             process.onControl { process.jobs.view(call.pathId(), plan = null) }.map(::whyOf)
         }
     }
 }
 
-private fun whyOf(view: JobView): Why {
+private fun whyOf(view: JobView): JobExplanation {
     val record = view.record
     val reason = when {
         record.state.isFinal -> "It ended as ${record.state}: ${record.code.meaning}"
         view.running.isNotEmpty() -> "It runs on ${view.running.joinToString { it.workerId }}."
         else -> view.waitReason ?: "It is about to start."
     }
-    return Why(record.jobId, reason)
+    return JobExplanation(record.jobId, reason)
 }
 
 private suspend fun <T> OperatorContext.answer(
--- a/server/src/main/kotlin/dev/bronzeshore/server/OwnerService.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/OwnerService.kt
@@ -8,7 +8,7 @@
 import dev.bronzeshore.core.Fault
 import dev.bronzeshore.core.JobRecord
 import dev.bronzeshore.core.JobView
-import dev.bronzeshore.core.PartPlace
+import dev.bronzeshore.core.PartLocation
 import dev.bronzeshore.core.ResultCode
 import dev.bronzeshore.jobs.JobStatus
 import dev.bronzeshore.ownership.HandOver
@@ -54,5 +54,5 @@
 private fun JobStatus.toView() = JobView(
     record = record,
     waitReason = waitReason,
-    running = running.map { PartPlace(it.part, it.workerId, it.startedAtMs) },
+    running = running.map { PartLocation(it.part, it.workerId, it.startedAtMs) },
 )
--- a/server/src/main/kotlin/dev/bronzeshore/server/ProcessRunner.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/ProcessRunner.kt
@@ -1,7 +1,7 @@
 /** Runs a process until it is asked to stop. */
 package dev.bronzeshore.server
 
-import dev.bronzeshore.core.PartLog
+import dev.bronzeshore.core.ComponentLog
 import kotlinx.coroutines.asCoroutineDispatcher
 import kotlinx.coroutines.awaitCancellation
 import kotlinx.coroutines.runBlocking
@@ -15,7 +15,7 @@
 internal fun runProcess(settings: Settings) {
     // Ktor's own shutdown hook would close the ports at once, while requests are still in flight.
     System.setProperty("io.ktor.server.engine.ShutdownHook", "false")
-    val log = PartLog("server")
+    val log = ComponentLog("server")
     val control = Executors.newSingleThreadExecutor { Thread(it, "control") }.asCoroutineDispatcher()
     val process = BronzeshoreProcess(settings, System::currentTimeMillis, control) { failure ->
         log.error(failure) { "The control thread failed; the process ends so that its deputy takes over." }
--- a/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterProcess.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterProcess.kt
@@ -4,10 +4,10 @@
 import arrow.core.right
 import dev.bronzeshore.core.ClockMs
 import dev.bronzeshore.core.EventLog
-import dev.bronzeshore.core.SteadyClock
+import dev.bronzeshore.core.MonotonicClock
 import dev.bronzeshore.core.cluster.AcceptedJob
 import dev.bronzeshore.core.cluster.ClusterSettings
-import dev.bronzeshore.core.cluster.JobDesk
+import dev.bronzeshore.core.cluster.JobOperations
 import dev.bronzeshore.core.cluster.NodeRow
 import dev.bronzeshore.core.cluster.StateAnswer
 import dev.bronzeshore.core.cluster.SubmitAnswer
@@ -72,7 +72,7 @@
     private val bootId = UUID.randomUUID().toString()
     private val selector = SelectorManager(traffic)
     private val platform = PlatformLink(selector, traffic, settings.storeAddress, settings.adviceAddress)
-    private val health = StoreHealth(SteadyClock)
+    private val health = StoreHealth(MonotonicClock)
     private val store = health.watching(platform.store)
     private val peerCaller = newPeerCaller()
     private val ownRow = NodeRow(
@@ -82,16 +82,16 @@
         leaderCapacity(settings.processorShare, settings.linkMbps),
     )
     private val directory: NodeDirectory = NodeDirectory(store, ownRow) { election.currentTerm != null }
-    private val config = ConfigFollower(store, SteadyClock, { directory.peers }) { peer, version ->
+    private val config = ConfigFollower(store, MonotonicClock, { directory.peers }) { peer, version ->
         peerCaller.call(peer, CONFIG_CALL, ConfigRequest(version), CONFIG_TIMEOUT_MS)?.content
     }
     private val metrics = ClusterMetrics({ config.current?.version ?: 0 }, { election.currentTerm?.term ?: 0 })
-    private val localDesk: JobDesk = createStoreDesk(store, SteadyClock, { health.isServed }, scope)
+    private val localDesk: JobOperations = createStoreDesk(store, MonotonicClock, { health.isServed }, scope)
     private val desk = PeerDesk(localDesk, health, { directory.peers }, peerCaller)
     private val election: LeaderElection = LeaderElection(
         store,
         ownRow,
-        SteadyClock,
+        MonotonicClock,
         { candidateDelayMs(ownRow, directory.peers) },
         LeaderEvents(
             gained = ::startTerm,
@@ -133,17 +133,17 @@
 
     /** Stops taking work, passes leadership on, and returns when the balancer and the callers have moved on. */
     suspend fun stop() {
-        val startedAtMs = SteadyClock()
+        val startedAtMs = MonotonicClock()
         isStopping = true
         log.event("stop", "process" to settings.processName, "leads" to (election.currentTerm != null))
         scope.launch(control) { passOnLeadership() }
         delay(BALANCER_NOTICE_MS)
         while (inFlight.get() > 0 &&
-            SteadyClock() - startedAtMs < settings.bounds.stopSignalGraceMs - EXIT_RESERVE_MS
+            MonotonicClock() - startedAtMs < settings.bounds.stopSignalGraceMs - EXIT_RESERVE_MS
         ) {
             delay(STOP_POLL_MS)
         }
-        log.event("stopped", "in_flight" to inFlight.get(), "duration_ms" to SteadyClock() - startedAtMs)
+        log.event("stopped", "in_flight" to inFlight.get(), "duration_ms" to MonotonicClock() - startedAtMs)
     }
 
     /** Leads on until another process has taken over; only without one is the term released unasked. */
@@ -159,7 +159,7 @@
 
     /** A busy leader's renewal may be late although the store serves it; only a second one in a row is a reason. */
     private suspend fun passOnUnlessServed(term: LeaderTerm) {
-        val now = SteadyClock()
+        val now = MonotonicClock()
         val isServed = now - health.succeededAtMs < RECENT_SUCCESS_MS && now - election.renewedAtMs < RENEWAL_OVERDUE_MS
         if (!isServed) passOn(term)
     }
@@ -183,7 +183,7 @@
         store = store,
         calls = platform.workers,
         bounds = settings.bounds,
-        clock = SteadyClock,
+        clock = MonotonicClock,
         timeOfDay = timeOfDay,
         metrics = metrics.forScheduler(),
         renewal = TermRenewal(election::dueBeat, election::renewed),
@@ -221,7 +221,7 @@
             WatchReply(election.currentTerm != null).right()
         },
         handlerOf(CANCEL_CALL) { CancelReply(onControl { localDesk.cancel(it.jobId) }).right() },
-        handlerOf(COUNT_CALL) { CountReply(onControl { localDesk.waitingIn(it.queue) }).right() },
+        handlerOf(COUNT_CALL) { CountReply(onControl { localDesk.waitingJobCount(it.queue) }).right() },
         handlerOf(CONFIG_CALL) { ConfigReply(config.contentAfter(it.knownVersion)).right() },
     )
 
@@ -242,11 +242,11 @@
 
     private suspend fun <T> onControl(work: suspend () -> T): T = withContext(control) { work() }
 
-    private fun countedDesk() = JobDesk(
+    private fun countedDesk() = JobOperations(
         submit = { counted { submit(it) } },
         stateOf = { counted { stateOf(it) } },
         cancel = { counted { desk.cancel(it) } },
-        waitingIn = { counted { desk.waitingIn(it) } },
+        waitingJobCount = { counted { desk.waitingJobCount(it) } },
     )
 
     private suspend fun <T> counted(work: suspend () -> T): T {
--- a/server/src/main/kotlin/dev/bronzeshore/server/cluster/LeaderLink.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/cluster/LeaderLink.kt
@@ -7,7 +7,7 @@
 package dev.bronzeshore.server.cluster
 
 import dev.bronzeshore.core.EventLog
-import dev.bronzeshore.core.SteadyClock
+import dev.bronzeshore.core.MonotonicClock
 import dev.bronzeshore.core.cluster.AcceptedJob
 import dev.bronzeshore.core.cluster.JobPhase
 import dev.bronzeshore.core.cluster.NodeRow
@@ -64,17 +64,17 @@
     }
 
     private suspend fun watchOnce(leader: KnownLeader) {
-        val startedAtMs = SteadyClock()
+        val startedAtMs = MonotonicClock()
         if (watchCalls.call(leader.node(), WATCH_CALL, WatchRequest(WATCH_HOLD_MS), WATCH_TIMEOUT_MS) != null) return
-        if (SteadyClock() - startedAtMs > BROKEN_WITHIN_MS ||
+        if (MonotonicClock() - startedAtMs > BROKEN_WITHIN_MS ||
             election.knownLeader?.term != leader.term
         ) {
             return delay(RETRY_MS)
         }
         delay(SECOND_TRY_PAUSE_MS)
-        val secondAtMs = SteadyClock()
+        val secondAtMs = MonotonicClock()
         if (watchCalls.call(leader.node(), WATCH_CALL, WatchRequest(0), SECOND_TRY_TIMEOUT_MS) != null) return
-        if (SteadyClock() - secondAtMs < SECOND_TRY_TIMEOUT_MS && election.knownLeader?.term == leader.term) {
+        if (MonotonicClock() - secondAtMs < SECOND_TRY_TIMEOUT_MS && election.knownLeader?.term == leader.term) {
             election.takeOverFrom(leader.term, "the leader's port is closed", isOnlyCandidate = false)
         }
         delay(RETRY_MS)
@@ -83,9 +83,9 @@
     /** What the leader knows of a job; null when it knows nothing or does not answer. */
     suspend fun phaseOf(jobId: String): JobPhase? {
         val leader = election.knownLeader ?: return null
-        if (leader.processName == own.processName || SteadyClock() < askAgainAtMs) return null
+        if (leader.processName == own.processName || MonotonicClock() < askAgainAtMs) return null
         val reply = calls.call(leader.node(), PHASE_CALL, JobRequest(jobId), STATE_TIMEOUT_MS)
-        if (reply == null) askAgainAtMs = SteadyClock() + LEADER_PAUSE_MS
+        if (reply == null) askAgainAtMs = MonotonicClock() + LEADER_PAUSE_MS
         return reply?.phase
     }
 
--- a/server/src/main/kotlin/dev/bronzeshore/server/cluster/NodeDirectory.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/cluster/NodeDirectory.kt
@@ -2,7 +2,7 @@
 package dev.bronzeshore.server.cluster
 
 import arrow.core.Either
-import dev.bronzeshore.core.PartLog
+import dev.bronzeshore.core.ComponentLog
 import dev.bronzeshore.core.cluster.ClusterStore
 import dev.bronzeshore.core.cluster.NodeRow
 import dev.bronzeshore.core.cluster.RowId
@@ -26,7 +26,7 @@
     private val own: NodeRow,
     private val isLeader: () -> Boolean,
 ) {
-    private val log = PartLog("nodes")
+    private val log = ComponentLog("nodes")
 
     /** All other processes, as far as known. */
     @Volatile
@@ -46,13 +46,13 @@
     }
 
     private suspend fun register(): Boolean {
-        val row = RowId(Tables.NODES, Tables.NODES_PART, own.processName)
+        val row = RowId(Tables.NODES, Tables.NODES_PARTITION, own.processName)
         val write = RowWrite(row, encodeRow(NodeRow.serializer(), own))
         return store.transact(StoreTransaction(writes = listOf(write))) is StoreOutcome.Applied
     }
 
     private suspend fun refresh() {
-        val page = store.readPage(RowRangeQuery(Tables.NODES, Tables.NODES_PART)).getOrNull() ?: return
+        val page = store.readPage(RowRangeQuery(Tables.NODES, Tables.NODES_PARTITION)).getOrNull() ?: return
         peers = page.rows.mapNotNull { row ->
             val value = row.value ?: return@mapNotNull null
             Either.catch { decodeRow(NodeRow.serializer(), value) }
--- a/server/src/main/kotlin/dev/bronzeshore/server/cluster/PeerDesk.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/cluster/PeerDesk.kt
@@ -8,7 +8,7 @@
 
 import dev.bronzeshore.core.EventLog
 import dev.bronzeshore.core.cluster.AcceptedJob
-import dev.bronzeshore.core.cluster.JobDesk
+import dev.bronzeshore.core.cluster.JobOperations
 import dev.bronzeshore.core.cluster.NodeRow
 import dev.bronzeshore.core.cluster.StateAnswer
 import dev.bronzeshore.core.cluster.SubmitAnswer
@@ -35,7 +35,7 @@
 private const val STORE_RETRY_MS = 1_000L
 
 internal class PeerDesk(
-    private val local: JobDesk,
+    private val local: JobOperations,
     private val health: StoreHealth,
     private val peers: () -> List<NodeRow>,
     private val calls: PeerCaller,
@@ -104,7 +104,7 @@
         local.cancel(jobId) ||
         somePeers().any { calls.call(it, CANCEL_CALL, JobRequest(jobId))?.isStored == true }
 
-    suspend fun waitingIn(queue: String): Int? = (if (health.isServed) local.waitingIn(queue) else null)
+    suspend fun waitingJobCount(queue: String): Int? = (if (health.isServed) local.waitingJobCount(queue) else null)
         ?: somePeers().firstNotNullOfOrNull { calls.call(it, COUNT_CALL, CountRequest(queue))?.count }
 
     private fun somePeers(): List<NodeRow> = peers().shuffled(Random).take(MAX_PEERS)
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/LeaderLinkTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/LeaderLinkTest.kt
@@ -2,7 +2,7 @@
 package dev.bronzeshore.server.cluster
 
 import arrow.core.right
-import dev.bronzeshore.core.SteadyClock
+import dev.bronzeshore.core.MonotonicClock
 import dev.bronzeshore.core.cluster.AcceptedJob
 import dev.bronzeshore.core.cluster.JobDescription
 import dev.bronzeshore.core.cluster.NodeRow
@@ -43,7 +43,7 @@
         fun election(row: NodeRow) = LeaderElection(
             store.asSeenBy(row.processName),
             row,
-            SteadyClock,
+            MonotonicClock,
             { 0 },
             LeaderEvents(gained = {}, lost = {}, storeLost = {}),
         )
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/SchedulerTrial.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/SchedulerTrial.kt
@@ -98,7 +98,7 @@
 
     private fun register(change: WorkerChange) {
         val entry = change.entry
-        val key = entry?.let { "${it.life.workerId}@${it.life.startedAtMs}" }
+        val key = entry?.let { "${it.incarnation.workerId}@${it.incarnation.startedAtMs}" }
         if (entry != null && key != null) entries[key] = entry
         store.put(RowId(WORKER_TABLE, "", change.workerId), key?.toByteArray())
     }
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/StoreDeskTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/StoreDeskTest.kt
@@ -6,7 +6,7 @@
 import dev.bronzeshore.core.Resources
 import dev.bronzeshore.core.cluster.AcceptedJob
 import dev.bronzeshore.core.cluster.JobDescription
-import dev.bronzeshore.core.cluster.JobDesk
+import dev.bronzeshore.core.cluster.JobOperations
 import dev.bronzeshore.core.cluster.JobPhase
 import dev.bronzeshore.core.cluster.JobProgress
 import dev.bronzeshore.core.cluster.QueueTerms
@@ -33,7 +33,7 @@
 class StoreDeskTest {
     private class Setup(scope: TestScope, isServed: Boolean = true) {
         val store = StoreStandIn(Random(1), scope.backgroundScope)
-        val desk: JobDesk =
+        val desk: JobOperations =
             createStoreDesk(store.asSeenBy("node"), { scope.currentTime }, { isServed }, scope.backgroundScope)
     }
 
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/TakeoverTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/TakeoverTest.kt
@@ -177,7 +177,7 @@
         assertEquals(2, trial.workers.judge.starts)
     }
 
-    private fun SchedulerTrial.rosterVersion() = store.rowsOf(Tables.LEADER_NOTES).first {
+    private fun SchedulerTrial.rosterVersion() = store.rowsOf(Tables.LEADER_STATE).first {
         it.id == Tables.ROSTER_ROW
     }.version
 
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/cluster/StoreStandIn.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/cluster/StoreStandIn.kt
@@ -96,7 +96,7 @@
         calls.merge("read", 1, Int::plus)
         delay(faults.latencyMs)
         if (isRefused(caller)) return ReadFailure.Unavailable("refused").left()
-        val found = rows.values.filter { it.id.table == query.table && it.id.part == query.part }
+        val found = rows.values.filter { it.id.table == query.table && it.id.partition == query.partition }
             .filter { query.fromKey == null || it.id.key >= query.fromKey.orEmpty() }
             .filter { query.toKey == null || it.id.key < query.toKey.orEmpty() }
             .sortedBy { it.id.key }
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/cluster/WorkerModel.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/cluster/WorkerModel.kt
@@ -3,10 +3,10 @@
 
 import dev.bronzeshore.core.cluster.EndKind
 import dev.bronzeshore.core.cluster.HoldAnswer
-import dev.bronzeshore.core.cluster.HoldOrder
+import dev.bronzeshore.core.cluster.HoldRequest
 import dev.bronzeshore.core.cluster.RunningTask
 import dev.bronzeshore.core.cluster.StartAnswer
-import dev.bronzeshore.core.cluster.StartOrder
+import dev.bronzeshore.core.cluster.StartRequest
 import dev.bronzeshore.core.cluster.StartResult
 import dev.bronzeshore.core.cluster.TaskEnd
 import dev.bronzeshore.core.cluster.TaskName
@@ -30,7 +30,7 @@
     private var leaseUntilMs = 0L
     private var acknowledged = 0L
     private var lastEnd = 0L
-    private val id get() = entry.life.workerId
+    private val id get() = entry.incarnation.workerId
 
     /** The worker's own steady clock, which starts with its life. */
     private fun now(): Long = clock() - startedAtMs
@@ -48,7 +48,7 @@
         }
     }
 
-    fun start(order: StartOrder, task: TaskModel): StartAnswer {
+    fun start(order: StartRequest, task: TaskModel): StartAnswer {
         advance()
         val refusal = refusalOf(order)
         if (refusal != null) return StartAnswer(refusal, now())
@@ -60,9 +60,9 @@
         return StartAnswer(StartResult.STARTED, now())
     }
 
-    private fun refusalOf(order: StartOrder): StartResult? {
-        if (order.fence < fence) return StartResult.FENCED
-        fence = order.fence
+    private fun refusalOf(order: StartRequest): StartResult? {
+        if (order.fencingToken < fence) return StartResult.FENCED
+        fence = order.fencingToken
         return when {
             now() > order.validUntilWorkerMs -> StartResult.TOO_LATE
             (highestEnded[order.run.task] ?: 0) >= order.run.run -> StartResult.SUPERSEDED
@@ -80,14 +80,14 @@
         return true
     }
 
-    fun hold(order: HoldOrder): HoldAnswer {
+    fun hold(order: HoldRequest): HoldAnswer {
         advance()
-        if (order.fence < fence) return HoldAnswer.Fenced
-        fence = order.fence
+        if (order.fencingToken < fence) return HoldAnswer.Fenced
+        fence = order.fencingToken
         order.leaseUntilWorkerMs?.let { leaseUntilMs = maxOf(leaseUntilMs, minOf(it, now() + MAX_LEASE_MS)) }
         acknowledge(order.acknowledgedEnd)
         val runs = running.values.map { RunningTask(it.run, null, it.percent(now())) }
-        return HoldAnswer.Report(entry.life.startedAtMs, now(), runs, ends.toList())
+        return HoldAnswer.Report(entry.incarnation.startedAtMs, now(), runs, ends.toList())
     }
 
     val hasNews: Boolean get() = ends.isNotEmpty()
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/cluster/WorkersStandIn.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/cluster/WorkersStandIn.kt
@@ -3,16 +3,16 @@
 
 import dev.bronzeshore.core.Resources
 import dev.bronzeshore.core.cluster.HoldAnswer
-import dev.bronzeshore.core.cluster.HoldOrder
+import dev.bronzeshore.core.cluster.HoldRequest
 import dev.bronzeshore.core.cluster.StartAnswer
-import dev.bronzeshore.core.cluster.StartOrder
+import dev.bronzeshore.core.cluster.StartRequest
 import dev.bronzeshore.core.cluster.StartResult
 import dev.bronzeshore.core.cluster.TaskName
 import dev.bronzeshore.core.cluster.TaskRun
 import dev.bronzeshore.core.cluster.WorkerCalls
 import dev.bronzeshore.core.cluster.WorkerChange
 import dev.bronzeshore.core.cluster.WorkerEntry
-import dev.bronzeshore.core.cluster.WorkerLife
+import dev.bronzeshore.core.cluster.WorkerIncarnation
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
@@ -45,7 +45,7 @@
     /** Starts a worker, or a new life of one that has crashed. */
     public fun boot(workerId: String) {
         val entry = WorkerEntry(
-            WorkerLife(workerId, clock() + 1),
+            WorkerIncarnation(workerId, clock() + 1),
             service,
             "$workerId:1",
             "dc",
@@ -76,22 +76,22 @@
         start = ::start,
         stop = ::stop,
         hold = { worker, order ->
-            delay(lookDelayMs(worker.life.workerId))
+            delay(lookDelayMs(worker.incarnation.workerId))
             hold(worker, order)
         },
     )
 
     private fun reach(worker: WorkerEntry): WorkerModel? =
-        workers[worker.life.workerId].takeIf { worker.life.workerId !in faults.cutOff }
+        workers[worker.incarnation.workerId].takeIf { worker.incarnation.workerId !in faults.cutOff }
 
-    private suspend fun start(worker: WorkerEntry, order: StartOrder): StartAnswer {
+    private suspend fun start(worker: WorkerEntry, order: StartRequest): StartAnswer {
         delay(CALL_MS)
         val model = reach(worker) ?: return unanswered()
         val task = taskOf(order.run.task)
         if (random.nextDouble() >= faults.appliedLate) return model.start(order, task)
         scope.launch {
             delay(random.nextLong(EARLIEST_LATE_MS, faults.latestMs))
-            if (workers[worker.life.workerId] === model) model.start(order, task)
+            if (workers[worker.incarnation.workerId] === model) model.start(order, task)
         }
         return unanswered()
     }
@@ -108,7 +108,7 @@
         return model?.stop(run, fence) ?: false
     }
 
-    private suspend fun hold(worker: WorkerEntry, order: HoldOrder): HoldAnswer {
+    private suspend fun hold(worker: WorkerEntry, order: HoldRequest): HoldAnswer {
         delay(CALL_MS)
         var waitedMs = 0L
         val first = reach(worker)?.hold(order) ?: return unreachable()
