--- a/core/src/main/kotlin/dev/bronzeshore/core/AuditEntry.kt
+++ b/core/src/main/kotlin/dev/bronzeshore/core/AuditEntry.kt
@@ -1,4 +1,4 @@
-/** One audited change, shared by the parts that write audit rows and the part that reads them. */
+/** Audit entries and the layout of their keys, shared by the modules that write and read audit rows. */
 package dev.bronzeshore.core
 
 import kotlinx.serialization.Serializable
@@ -6,14 +6,14 @@
 /** Prefix of the keys of all audit rows. */
 public const val AUDIT_PREFIX: String = "audit/"
 
-/** Digits of the time in an audit key: key order is then time order for all times that a long can hold in practice. */
+/** Digits to which the time in an audit key is zero-padded; keys then sort by time for all realistic times. */
 public const val AUDIT_TIME_DIGITS: Int = 16
 
 /**
- * Who changed what and when.
+ * An audited change: who changed what, and when.
  *
- * [before] and [after] hold the changed part as JSON; null means that there was nothing, or that nothing is left.
- * [writeId] is the identity of the transaction that wrote the change and this entry together.
+ * [before] and [after] hold the changed content as JSON; null means that it did not exist before or was removed.
+ * [writeId] identifies the transaction that wrote both the change and this entry.
  */
 @Serializable
 public data class AuditEntry(
@@ -27,12 +27,12 @@
     public val after: String? = null,
 )
 
-/** Key of the entry's row; a later entry has a greater key. */
+/** Key of the entry's row; later entries have greater keys. */
 public val AuditEntry.rowKey: String
     get() = "${auditKeyPrefix(atMs)}-$writeId"
 
-/** The part of an audit key that all entries written at [atMs] share. */
+/** Key prefix shared by all entries written at [atMs]. */
 public fun auditKeyPrefix(atMs: Long): String = AUDIT_PREFIX + atMs.toString().padStart(AUDIT_TIME_DIGITS, '0')
 
-/** The write that stores the entry; it belongs into the transaction that makes the change. */
+/** Returns the write that stores the entry; add it to the transaction that makes the change. */
 public fun AuditEntry.toPut(): Put = Put(rowKey, WireJson.encodeToString(AuditEntry.serializer(), this))
--- a/core/src/main/kotlin/dev/bronzeshore/core/Clock.kt
+++ b/core/src/main/kotlin/dev/bronzeshore/core/Clock.kt
@@ -1,4 +1,4 @@
-/** Time source used by every part, passed in so that tests can control it. */
+/** Time source, passed in as a dependency so that tests can control it. */
 package dev.bronzeshore.core
 
 /** Returns the current wall-clock time in milliseconds since the Unix epoch. */
--- a/core/src/main/kotlin/dev/bronzeshore/core/Codecs.kt
+++ b/core/src/main/kotlin/dev/bronzeshore/core/Codecs.kt
@@ -1,4 +1,4 @@
-/** Shared serializer settings: strict JSON with comments for people, CBOR between processes. */
+/** Shared serializer settings: strict JSON for files edited by people, lenient JSON and CBOR between programs. */
 @file:OptIn(ExperimentalSerializationApi::class)
 
 package dev.bronzeshore.core
--- a/core/src/main/kotlin/dev/bronzeshore/core/ComponentLog.kt
+++ b/core/src/main/kotlin/dev/bronzeshore/core/ComponentLog.kt
@@ -1,9 +1,9 @@
-/** Logging with a fixed prefix for each part. */
+/** Logging with a fixed prefix for each component. */
 package dev.bronzeshore.core
 
 import org.tinylog.Logger
 
-/** Writes short sentences through tinylog, each with the part's [prefix]. */
+/** Writes human-readable messages through tinylog, each with the component's [prefix]. */
 public class ComponentLog(private val prefix: String) {
     public fun info(message: () -> String): Unit = Logger.info { "$prefix: ${message()}" }
 
--- a/core/src/main/kotlin/dev/bronzeshore/core/Configuration.kt
+++ b/core/src/main/kotlin/dev/bronzeshore/core/Configuration.kt
@@ -1,9 +1,9 @@
-/** Plans and allowances: the two lists that operators keep in version control. */
+/** Plans and allowances, the two lists that operators keep in version control, and the marks of VMs. */
 package dev.bronzeshore.core
 
 import kotlinx.serialization.Serializable
 
-/** How work of a kind is scheduled. */
+/** Scheduling policy of a kind of work. */
 @Serializable
 public enum class Policy { INTERACTIVE, BATCH, IMPORTANT, GANG }
 
@@ -32,15 +32,15 @@
     public val weight: Int = 1,
 )
 
-/** An operator's mark on a VM. */
+/** Lifecycle mark that an operator sets on a VM. */
 @Serializable
 public enum class VmMark { JOINING, LEAVING, GONE }
 
-/** A mark as it is kept in the configuration. */
+/** A VM mark as stored in the configuration. */
 @Serializable
 public data class MarkedVm(public val vmId: String, public val mark: VmMark)
 
-/** The configuration that is in force; [version] only grows. */
+/** The active configuration; [version] never decreases. */
 @Serializable
 public data class Configuration(
     public val version: Long,
--- a/core/src/main/kotlin/dev/bronzeshore/core/EventLog.kt
+++ b/core/src/main/kotlin/dev/bronzeshore/core/EventLog.kt
@@ -1,8 +1,8 @@
 /**
- * Structured log lines: one JSON object for each decision, on standard output.
+ * Structured logging: one JSON object for each decision, on standard output.
  *
- * The number of lines of each event is bounded a second, so that a flood of requests cannot turn into a flood of
- * lines. The first line after a bounded second tells how many were left out.
+ * The number of lines per second is limited for each event name, so that a flood of requests cannot flood the log. The
+ * first line written after lines were dropped reports how many.
  */
 package dev.bronzeshore.core
 
@@ -10,27 +10,27 @@
 import kotlinx.serialization.json.buildJsonObject
 import org.tinylog.Logger
 
-/** Lines of one event in a second; a busy leader makes about 120 starts a second and one line takes about 20 us. */
+/** Per event name; a busy leader starts about 120 tasks per second, and writing a line takes about 20 us. */
 private const val MAX_LINES_PER_SECOND = 100
 private const val SECOND_MS = 1_000L
 
-/** Thread-safe; [part] is the fixed prefix of the part that writes. */
+/** Thread-safe. [component] identifies the component that writes and is logged as `part`. */
 public class EventLog(
-    private val part: String,
+    private val component: String,
     private val clock: ClockMs = System::currentTimeMillis,
     private val write: (String) -> Unit = { Logger.info(it as Any) },
 ) {
-    private class Budget(var secondStartMs: Long, var lines: Int, var dropped: Int)
+    private class RateWindow(var startMs: Long, var lines: Int, var dropped: Int)
 
-    private val budgets = HashMap<String, Budget>()
+    private val windows = HashMap<String, RateWindow>()
 
-    /** Writes a line with the given [fields]; null values are left out. */
+    /** Writes a line with the given [fields]; fields with a null value are omitted. */
     public fun event(name: String, vararg fields: Pair<String, Any?>) {
         val now = clock()
         val dropped = admit(name, now) ?: return
         val line = buildJsonObject {
             put("at_ms", JsonPrimitive(now))
-            put("part", JsonPrimitive(part))
+            put("part", JsonPrimitive(component))
             put("event", JsonPrimitive(name))
             for ((key, value) in fields) if (value != null) put(key, primitiveOf(value))
             if (dropped > 0) put("lines_left_out", JsonPrimitive(dropped))
@@ -38,19 +38,19 @@
         write(line.toString())
     }
 
-    /** The number of lines left out before this one, or null if this one is left out as well. */
-    private fun admit(name: String, now: Long): Int? = synchronized(budgets) {
-        val budget = budgets.getOrPut(name) { Budget(now, 0, 0) }
-        if (now - budget.secondStartMs !in 0 until SECOND_MS) {
-            budget.secondStartMs = now
-            budget.lines = 0
+    /** Returns the number of lines dropped before this one, or null if this one is dropped as well. */
+    private fun admit(name: String, now: Long): Int? = synchronized(windows) {
+        val window = windows.getOrPut(name) { RateWindow(now, 0, 0) }
+        if (now - window.startMs !in 0 until SECOND_MS) {
+            window.startMs = now
+            window.lines = 0
         }
-        if (budget.lines >= MAX_LINES_PER_SECOND) {
-            budget.dropped++
+        if (window.lines >= MAX_LINES_PER_SECOND) {
+            window.dropped++
             return null
         }
-        budget.lines++
-        budget.dropped.also { budget.dropped = 0 }
+        window.lines++
+        window.dropped.also { window.dropped = 0 }
     }
 
     private fun primitiveOf(value: Any): JsonPrimitive = when (value) {
--- a/core/src/main/kotlin/dev/bronzeshore/core/Fault.kt
+++ b/core/src/main/kotlin/dev/bronzeshore/core/Fault.kt
@@ -1,13 +1,14 @@
-/** The error type carried on the left side of `Either` across all parts. */
+/** The error type on the left side of `Either` in all modules. */
 package dev.bronzeshore.core
 
 import kotlinx.serialization.Serializable
 
 /**
- * One fault with its numbered [code].
+ * An error with its numbered [code].
  *
- * [place] says where in the input the fault is (field path, file and line), [accepted] what would be accepted there.
- * [retryAtMs] is the earliest time at which a retry makes sense.
+ * [place] is the location of the error in the input (field path, file and line), [accepted] describes the values that
+ * are accepted there.
+ * [retryAtMs] is the earliest time at which a retry can succeed.
  */
 @Serializable
 public data class Fault(
--- a/core/src/main/kotlin/dev/bronzeshore/core/Job.kt
+++ b/core/src/main/kotlin/dev/bronzeshore/core/Job.kt
@@ -6,7 +6,7 @@
 @Serializable
 public enum class Urgency { URGENT, NORMAL, PATIENT }
 
-/** What a caller declares about a job; the plan comes from the caller's token. */
+/** A job as submitted by a caller; the plan is determined by the caller's token. */
 @Serializable
 public data class JobSubmission(
     public val kind: String,
@@ -15,24 +15,24 @@
     public val urgency: Urgency = Urgency.NORMAL,
     public val allAtOnce: Boolean = false,
     public val idempotent: Boolean = true,
-    /** Latest start; null means that the job waits as long as needed. */
+    /** Latest start time; null means no limit. */
     public val startBeforeMs: Long? = null,
-    /** The caller's estimate of the run time, a property of the job and often far off. */
+    /** The caller's estimate of the run time, often inaccurate. */
     public val declaredRunMs: Long = 60_000,
-    /** Data centre that must run the job; null lets the system choose. */
+    /** Data centre that must run the job; null means any. */
     public val dataCentre: String? = null,
-    /** Argument handed to the tasks unchanged. */
+    /** Argument passed to the tasks unchanged. */
     public val payload: String = "",
 )
 
 @Serializable
 public enum class JobState { QUEUED, RUNNING, SUCCEEDED, FAILED, CANCELLED, REFUSED, UNKNOWN }
 
-/** True when the state can no longer change. */
+/** True for terminal states, which no longer change. */
 public val JobState.isFinal: Boolean
     get() = this != JobState.QUEUED && this != JobState.RUNNING
 
-/** One job as its row in the table service holds it. */
+/** A job as stored in its row of the table service. */
 @Serializable
 public data class JobRecord(
     public val jobId: String,
@@ -46,7 +46,7 @@
     public val endedAtMs: Long? = null,
 )
 
-/** What one part returned and where it ran. */
+/** Output of one part and the worker that ran it. */
 @Serializable
 public data class PartResult(
     public val part: Int,
--- a/core/src/main/kotlin/dev/bronzeshore/core/ListenAddress.kt
+++ b/core/src/main/kotlin/dev/bronzeshore/core/ListenAddress.kt
@@ -3,6 +3,6 @@
 
 import kotlinx.serialization.Serializable
 
-/** An address to listen on; port 0 lets the system choose. */
+/** With port 0 the operating system chooses a free port. */
 @Serializable
 public data class ListenAddress(public val host: String, public val port: Int)
--- a/core/src/main/kotlin/dev/bronzeshore/core/OperatorApi.kt
+++ b/core/src/main/kotlin/dev/bronzeshore/core/OperatorApi.kt
@@ -1,9 +1,9 @@
-/** Requests and answers of the operator port. */
+/** Requests and responses of the operator API. */
 package dev.bronzeshore.core
 
 import kotlinx.serialization.Serializable
 
-/** Asks for the two lists to be put in force; [expectedVersion] null means "whatever is in force now". */
+/** Makes the given plans and allowances active; a null [expectedVersion] accepts any current version. */
 @Serializable
 public data class ApplyRequest(
     public val expectedVersion: Long? = null,
@@ -14,9 +14,9 @@
 )
 
 /**
- * The version in force after the call and what changed.
+ * The active version after the call and the changes made.
  *
- * [applied] is false for a dry run and when the wanted content was already in force.
+ * [applied] is false for a dry run and when the requested content was already active.
  */
 @Serializable
 public data class ApplyAnswer(
@@ -25,11 +25,11 @@
     public val applied: Boolean,
 )
 
-/** Marks a VM. */
+/** Sets the mark of a VM. */
 @Serializable
 public data class MarkRequest(public val mark: VmMark, public val operator: String)
 
-/** A VM with everything that decides whether it is given work. */
+/** A VM and the conditions that decide whether it is assigned work. */
 @Serializable
 public data class VmStatus(
     public val vm: Vm,
@@ -38,11 +38,11 @@
     public val accepting: Boolean,
 )
 
-/** A data centre that the answering process owns. */
+/** A data centre owned by the responding process. */
 @Serializable
 public data class OwnedDataCentre(public val dataCentre: String, public val term: Long, public val actUntilMs: Long)
 
-/** The state of the answering process. */
+/** State of the responding process. */
 @Serializable
 public data class ProcessStatus(
     public val processId: String,
@@ -53,11 +53,11 @@
     public val ready: Boolean,
 )
 
-/** Where a part of a job runs. */
+/** The worker that runs a part of a job. */
 @Serializable
 public data class PartLocation(public val part: Int, public val workerId: String, public val startedAtMs: Long)
 
-/** A job with what it waits for and where its parts run. */
+/** A job with the reason why it waits and the locations of its running parts. */
 @Serializable
 public data class JobView(
     public val record: JobRecord,
@@ -65,6 +65,6 @@
     public val running: List<PartLocation> = emptyList(),
 )
 
-/** Why a job is in its present state. */
+/** The reason for the current state of a job. */
 @Serializable
 public data class JobExplanation(public val jobId: String, public val reason: String)
--- a/core/src/main/kotlin/dev/bronzeshore/core/Resources.kt
+++ b/core/src/main/kotlin/dev/bronzeshore/core/Resources.kt
@@ -1,9 +1,9 @@
-/** Exact integer sizes of tasks and workers. */
+/** Resource amounts of tasks and workers as exact integers. */
 package dev.bronzeshore.core
 
 import kotlinx.serialization.Serializable
 
-/** An amount of processors, memory and accelerators; never negative in any accepted declaration. */
+/** An amount of processors, memory and accelerators; never negative in accepted input. */
 @Serializable
 public data class Resources(
     public val processorsMillicores: Long,
@@ -29,10 +29,10 @@
         Math.multiplyExact(accelerators, parts.toLong()),
     )
 
-    /** True if this amount fits into [room] in every dimension. */
-    public fun fitsIn(room: Resources): Boolean = processorsMillicores <= room.processorsMillicores &&
-        memoryBytes <= room.memoryBytes &&
-        accelerators <= room.accelerators
+    /** True if this amount fits into [available] in every dimension. */
+    public fun fitsIn(available: Resources): Boolean = processorsMillicores <= available.processorsMillicores &&
+        memoryBytes <= available.memoryBytes &&
+        accelerators <= available.accelerators
 
     public companion object {
         public val NONE: Resources = Resources(0, 0, 0)
--- a/core/src/main/kotlin/dev/bronzeshore/core/ResultCode.kt
+++ b/core/src/main/kotlin/dev/bronzeshore/core/ResultCode.kt
@@ -1,11 +1,11 @@
 /** Numbered result codes shown to callers and operators; docs/result-codes.md lists the same table. */
 package dev.bronzeshore.core
 
-/** Whether work whose call ended with a code may have run. */
+/** Whether the work may have run when a call ends with a given code. */
 public enum class Outcome { DONE, NOT_RUN, UNKNOWN }
 
 /**
- * A numbered result with the HTTP status that carries it.
+ * A numbered result and the HTTP status that it is returned with.
  *
  * Numbers are stable: 1xxx bad input, 2xxx refused before running, 3xxx outcome unknown, 4xxx conflicts and access,
  * 5xxx internal.
--- a/core/src/main/kotlin/dev/bronzeshore/core/TableApi.kt
+++ b/core/src/main/kotlin/dev/bronzeshore/core/TableApi.kt
@@ -1,10 +1,10 @@
-/** The platform's table service as function types, so that tests put a small fake in its place. */
+/** The platform's table service as function types, so that tests can substitute a small fake. */
 package dev.bronzeshore.core
 
 import arrow.core.Either
 import kotlinx.serialization.Serializable
 
-/** A row; [version] grows by one with each write, [writeId] names the write that produced it. */
+/** A row; [version] increases by one with each write, [writeId] identifies the write that produced it. */
 @Serializable
 public data class Row(
     public val key: String,
@@ -20,7 +20,7 @@
 @Serializable
 public data class Put(public val key: String, public val value: String)
 
-/** A transaction: applied whole if all conditions hold, otherwise not at all. */
+/** A transaction, applied atomically if all conditions hold and otherwise not at all. */
 @Serializable
 public data class Transaction(
     public val writeId: String,
@@ -41,7 +41,7 @@
     public data class Conflict(public val key: String, public val actualVersion: Long) : WriteResult
 }
 
-/** Rows whose keys start with a prefix, in key order, after a key. */
+/** Selects up to [limit] rows whose keys start with [prefix] and sort after [afterKey], in key order. */
 @Serializable
 public data class RowRange(public val prefix: String, public val afterKey: String = "", public val limit: Int = 1_000)
 
@@ -49,7 +49,7 @@
  * Access to the table service.
  *
  * A left result with outcome `NOT_RUN` means that nothing was written; `UNKNOWN` means that the write may have taken
- * effect, and a re-read that compares [Row.writeId] tells.
+ * effect, which can be determined by reading the row again and comparing [Row.writeId].
  */
 public class TableApi(
     public val read: suspend (key: String) -> Either<Fault, Row?>,
--- a/core/src/main/kotlin/dev/bronzeshore/core/Task.kt
+++ b/core/src/main/kotlin/dev/bronzeshore/core/Task.kt
@@ -1,4 +1,4 @@
-/** Tasks on workers: identity, commands and reports. This is the whole interface to a worker. */
+/** Tasks on workers: identity, commands and reports. This is the complete interface to a worker. */
 package dev.bronzeshore.core
 
 import arrow.core.Either
@@ -27,20 +27,20 @@
 @Serializable
 public data class TaskRenewal(public val task: TaskId, public val leaseUntilMs: Long)
 
-/** What is done to a running task. */
+/** Action on a running task. */
 @Serializable
 public enum class TaskAction { STOP, CHECKPOINT, THROTTLE }
 
 @Serializable
 public data class TaskOrder(public val task: TaskId, public val action: TaskAction)
 
-/** Commands of one call; an empty one is a plain heartbeat. */
+/** Commands of one call to a worker; without any commands the call is a heartbeat. */
 @Serializable
 public data class WorkerCommands(
     public val starts: List<TaskStart> = emptyList(),
     public val renewals: List<TaskRenewal> = emptyList(),
     public val orders: List<TaskOrder> = emptyList(),
-    /** Ended tasks that the worker may forget. */
+    /** Ended tasks whose status the worker may discard. */
     public val acknowledged: List<TaskId> = emptyList(),
 )
 
@@ -57,7 +57,7 @@
     public val output: String = "",
 )
 
-/** A worker's answer: all running tasks and the ended ones that were not acknowledged yet. */
+/** A worker's response: all running tasks, and the ended tasks that have not been acknowledged. */
 @Serializable
 public data class WorkerReport(
     public val workerId: String,
--- a/core/src/main/kotlin/dev/bronzeshore/core/Vm.kt
+++ b/core/src/main/kotlin/dev/bronzeshore/core/Vm.kt
@@ -1,4 +1,4 @@
-/** VMs as the platform's list and the operators' marks describe them. */
+/** VMs as described by the platform's VM list and the operators' marks. */
 package dev.bronzeshore.core
 
 import kotlinx.serialization.Serializable
--- a/core/src/main/kotlin/dev/bronzeshore/core/WorkPlacer.kt
+++ b/core/src/main/kotlin/dev/bronzeshore/core/WorkPlacer.kt
@@ -1,9 +1,9 @@
-/** The interface between job handling and placement decisions. */
+/** Interface between job management and placement. */
 package dev.bronzeshore.core
 
 import arrow.core.Either
 
-/** One accepted job as the placement decision sees it. */
+/** An accepted job as input to placement decisions. */
 public data class WorkItem(
     public val jobId: String,
     public val plan: String,
@@ -13,9 +13,9 @@
     public val parts: Int,
     public val allAtOnce: Boolean,
     public val acceptedAtMs: Long,
-    /** Latest start, or null. */
+    /** Latest start time, or null for no limit. */
     public val startBeforeMs: Long?,
-    /** The caller's estimate of the run time; often far off. */
+    /** The caller's estimate of the run time, often inaccurate. */
     public val declaredRunMs: Long,
     /** Parts that still need a worker; the others run or have ended. */
     public val pendingParts: List<Int> = (0 until parts).toList(),
@@ -24,7 +24,7 @@
 /** Starts one part on a worker. */
 public data class Placement(public val jobId: String, public val part: Int, public val workerId: String)
 
-/** Stops or checkpoints one running part to make room; the part becomes pending again. */
+/** Stops or checkpoints one running part to free its resources; the part becomes pending again. */
 public data class Preemption(
     public val jobId: String,
     public val part: Int,
@@ -42,7 +42,7 @@
     public val refusals: List<Refusal> = emptyList(),
 )
 
-/** A worker that may be given work. */
+/** A worker that work can be placed on. */
 public data class PlacementWorker(
     public val workerId: String,
     public val rack: String,
@@ -53,7 +53,7 @@
 
 /** Decides which worker runs which part. Called on the control thread only. */
 public interface WorkPlacer {
-    /** Adds or changes a worker; what runs there is kept. */
+    /** Adds or updates a worker; the parts that run there are kept. */
     public fun putWorker(worker: PlacementWorker)
 
     public fun removeWorker(workerId: String)
@@ -61,27 +61,27 @@
     /** Replaces the allowances of this data centre. */
     public fun setAllowances(allowances: List<Allowance>)
 
-    /** Says why a job can never run here, without queueing it. */
+    /** Returns a fault if the job can never run in this data centre; does not queue it. */
     public fun check(item: WorkItem): Either<Fault, Unit>
 
-    /** Queues a job, or says why it can never run here. */
+    /** Queues a job, or returns a fault if it can never run in this data centre. */
     public fun submit(item: WorkItem): Either<Fault, Unit>
 
-    /** Removes the pending parts of a job; running parts keep their room until they end. */
+    /** Removes the pending parts of a job; running parts keep their resources until they end. */
     public fun cancel(jobId: String)
 
-    /** Records a part that already runs, found by a new owner in a worker's report. */
+    /** Records a part that is already running, which a new owner found in a worker's report. */
     public fun adopt(item: WorkItem, part: Int, workerId: String)
 
-    /** Frees the room of a part that ended; [requeue] makes the part pending again. */
+    /** Frees the resources of a part that ended; [requeue] makes the part pending again. */
     public fun partEnded(jobId: String, part: Int, workerId: String, requeue: Boolean)
 
-    /** Takes a usage report, which may be old, for a running part. */
+    /** Records a usage report, which may be stale, for a running part. */
     public fun reportUsage(jobId: String, part: Int, workerId: String, used: Resources)
 
-    /** Decides at most [limit] placements. */
+    /** Makes at most [limit] placements. */
     public fun decide(limit: Int): Decisions
 
-    /** Says what a queued job waits for, in one sentence, or null if it does not wait. */
+    /** Returns a sentence that says what a queued job waits for, or null if it does not wait. */
     public fun waitReason(jobId: String): String?
 }
--- a/core/src/main/kotlin/dev/bronzeshore/core/cluster/ClusterConfig.kt
+++ b/core/src/main/kotlin/dev/bronzeshore/core/cluster/ClusterConfig.kt
@@ -1,7 +1,7 @@
 /** The operators' configuration of queues and services. */
 package dev.bronzeshore.core.cluster
 
-/** A queue that takes jobs for a service. */
+/** A queue that accepts jobs for a service. */
 public data class Queue(public val host: String, public val pathPrefix: String, public val terms: QueueTerms)
 
 /** One version of the configuration. */
@@ -12,7 +12,7 @@
 ) {
     private val byHost = queues.groupBy { it.host }
 
-    /** The queue with the longest prefix of [path] on [host], or null. */
+    /** The queue on [host] whose prefix is the longest match for [path], or null. */
     public fun queueFor(host: String, path: String): Queue? =
         byHost[host]?.filter { path.startsWith(it.pathPrefix) }?.maxByOrNull { it.pathPrefix.length }
 }
--- a/core/src/main/kotlin/dev/bronzeshore/core/cluster/ClusterSettings.kt
+++ b/core/src/main/kotlin/dev/bronzeshore/core/cluster/ClusterSettings.kt
@@ -1,17 +1,17 @@
-/** What a process on the platform learns from its settings. */
+/** Settings of a process on the platform. */
 package dev.bronzeshore.core.cluster
 
 import dev.bronzeshore.core.ListenAddress
 
-/** Bounds that the platform sets for workers and callers. */
+/** Limits that the platform sets for workers and callers. */
 public data class ClusterBounds(
     /** Longest lease that a worker grants. */
     public val maxLeaseMs: Long,
     /** Longest time that a worker takes to stop a run. */
     public val stopGraceMs: Long,
-    /** Time that gang members wait for each other. */
+    /** Time that the members of a gang wait for each other. */
     public val gangWaitMs: Long,
-    /** Time between a stop signal and a kill. */
+    /** Time between a stop signal and the kill that follows it. */
     public val stopSignalGraceMs: Long,
     /** Time for which the state of a finished job is kept. */
     public val statusRetentionMs: Long,
@@ -21,7 +21,7 @@
     public val remoteFactor: Double,
 )
 
-/** The whole of the settings. */
+/** All settings of a process. */
 public data class ClusterSettings(
     public val processName: String,
     public val dataCentre: String,
@@ -31,9 +31,9 @@
     public val metrics: ListenAddress,
     public val storeAddress: String,
     public val adviceAddress: String?,
-    /** Processors of this machine, as a number of whole ones. */
+    /** Processors available on this machine; 1.0 is one whole processor. */
     public val processorShare: Double,
-    /** Bandwidth of this machine's link, in megabits a second. */
+    /** Bandwidth of this machine's link, in megabits per second. */
     public val linkMbps: Double,
     public val bounds: ClusterBounds,
 )
--- a/core/src/main/kotlin/dev/bronzeshore/core/cluster/JobDescription.kt
+++ b/core/src/main/kotlin/dev/bronzeshore/core/cluster/JobDescription.kt
@@ -1,4 +1,4 @@
-/** What a caller asks for when it submits a job: steps of equal tasks with dependencies between the steps. */
+/** A job as requested by a caller: steps of identical tasks, with dependencies between the steps. */
 package dev.bronzeshore.core.cluster
 
 import dev.bronzeshore.core.Resources
@@ -8,13 +8,13 @@
 @Serializable
 public data class StepDescription(
     public val replicas: Int,
-    /** Room that one task takes on a worker. */
+    /** Resources that one task uses on a worker. */
     public val size: Resources,
-    /** The caller's estimate of one task's run time; often far off. */
+    /** The caller's estimate of one task's run time, often inaccurate. */
     public val estimateMs: Long,
-    /** Numbers of earlier steps whose tasks must all be done first. */
+    /** Numbers of the earlier steps that must be complete first. */
     public val after: List<Int> = emptyList(),
-    /** The tasks work only while all of them run. */
+    /** The tasks make progress only while all of them run. */
     public val isGang: Boolean = false,
     public val isCheckpointable: Boolean = false,
     /** A second copy of a task may run at the same time. */
@@ -29,24 +29,24 @@
     public val dataRack: String? = null,
     /** Most tasks of the step on one worker; 0 means any number. */
     public val maxPerWorker: Int = 0,
-    /** The tasks use what others leave idle: their processors are not counted against the worker. */
+    /** The tasks use processors that others leave idle; their processors are not counted against the worker. */
     public val usesIdleProcessors: Boolean = false,
-    /** Tasks of a service step that may be unavailable at the same time by decisions of the scheduler. */
+    /** Number of tasks of a service step that the scheduler may make unavailable at the same time. */
     public val disruptionBudget: Int? = null,
-    /** Bound on the tail latency of a service task, or 0. */
+    /** Upper bound on the tail latency of a service task, or 0 for none. */
     public val targetLatencyMs: Long = 0,
-    /** Name of what the tasks run, or null. */
+    /** Name of the image that the tasks run, or null. */
     public val image: String? = null,
 )
 
-/** A schedule: occurrence k is due at [firstDueMs] + k x [periodMs] of the time of day. */
+/** A schedule: occurrence k is due at the wall-clock time [firstDueMs] + k x [periodMs]. */
 @Serializable
 public data class JobSchedule(public val firstDueMs: Long, public val periodMs: Long, public val count: Int)
 
 /** A job as submitted. */
 @Serializable
 public data class JobDescription(
-    /** Handed to the worker unchanged. */
+    /** Passed to the worker unchanged. */
     public val payload: String,
     public val steps: List<StepDescription>,
     public val schedule: JobSchedule? = null,
@@ -55,20 +55,20 @@
     public val isService: Boolean get() = steps.any { it.isService }
 }
 
-/** The settings of the queue at the time of acceptance, kept with the job so that it survives the queue's removal. */
+/** Settings of the queue at the time of acceptance; stored with the job so that they outlive the queue. */
 @Serializable
 public data class QueueTerms(
     public val queue: String,
     public val service: String,
     public val priority: Int,
     public val maxAttempts: Int,
-    /** The objective is [stretch] times the longest chain of tasks, plus [graceMs]. */
+    /** The completion objective is [stretch] times the critical path of the job, plus [graceMs]. */
     public val stretch: Double,
     public val graceMs: Long,
     public val advice: AdviceTerms? = null,
 )
 
-/** What a call to the advice service costs and how long its answer holds. */
+/** Duration of a call to the advice service and validity of its response. */
 @Serializable
 public data class AdviceTerms(
     public val decisionMs: Double,
@@ -76,12 +76,12 @@
     public val validityMs: Long,
 )
 
-/** One accepted job as it is stored. */
+/** An accepted job as stored. */
 @Serializable
 public data class AcceptedJob(
     public val jobId: String,
     public val description: JobDescription,
     public val terms: QueueTerms,
-    /** Time of day of the acceptance; used for ordering only. */
+    /** Wall-clock time of the acceptance; used for ordering only. */
     public val acceptedAtMs: Long,
 )
--- a/core/src/main/kotlin/dev/bronzeshore/core/cluster/JobOperations.kt
+++ b/core/src/main/kotlin/dev/bronzeshore/core/cluster/JobOperations.kt
@@ -1,23 +1,23 @@
-/** Answers to the callers that submit, query and cancel jobs. */
+/** Operations with which callers submit, query, cancel and count jobs, and their results. */
 package dev.bronzeshore.core.cluster
 
 import kotlinx.serialization.Serializable
 
-/** The state of a job as callers see it. */
+/** The state of a job as reported to callers. */
 @Serializable
 public enum class JobPhase { PENDING, RUNNING, COMPLETED, FAILED, CANCELLED }
 
-/** True when the state can no longer change. */
+/** True for terminal states, which no longer change. */
 public val JobPhase.isEnded: Boolean get() = this != JobPhase.PENDING && this != JobPhase.RUNNING
 
-/** How a submission ended. */
+/** Result of a submission. */
 @Serializable
 public sealed interface SubmitAnswer {
     /** The job is stored. */
     @Serializable
     public data object Accepted : SubmitAnswer
 
-    /** The job was not stored and never runs; the caller may try again after [retryAfterMs]. */
+    /** The job was not stored and will never run; the caller may retry after [retryAfterMs]. */
     @Serializable
     public data class Rejected(
         public val reason: String,
@@ -30,7 +30,7 @@
     public data class Unknown(public val reason: String) : SubmitAnswer
 }
 
-/** How a query for a job's state ended. */
+/** Result of a query for a job's state. */
 @Serializable
 public sealed interface StateAnswer {
     @Serializable
@@ -43,7 +43,7 @@
     public data object Unavailable : StateAnswer
 }
 
-/** What callers may ask of any process. */
+/** Operations that any process offers to callers. */
 public class JobOperations(
     public val submit: suspend (AcceptedJob) -> SubmitAnswer,
     public val stateOf: suspend (jobId: String) -> StateAnswer,
--- a/core/src/main/kotlin/dev/bronzeshore/core/cluster/Store.kt
+++ b/core/src/main/kotlin/dev/bronzeshore/core/cluster/Store.kt
@@ -1,16 +1,16 @@
 /**
- * The transactional store that keeps everything which has to outlive a process.
+ * The transactional store for all state that must outlive a process.
  *
- * Rows live in a table and a part; a transaction covers rows of a single part.
+ * A row belongs to a table and a partition of it; a transaction covers rows of a single partition.
  */
 package dev.bronzeshore.core.cluster
 
 import arrow.core.Either
 
-/** Where a row is kept. */
+/** Identity of a row. */
 public data class RowId(public val table: String, public val partition: String, public val key: String)
 
-/** A row as read; [value] is null for a row that a change feed reports as deleted. */
+/** A row as read; [value] is null if the change feed reports the row as deleted. */
 public class StoredRow(public val id: RowId, public val value: ByteArray?, public val version: Long)
 
 /** Requires [id] to be at [version]; version 0 requires that the row does not exist. */
@@ -19,37 +19,37 @@
 /** A row to write. */
 public class RowWrite(public val id: RowId, public val value: ByteArray)
 
-/** Applied as a whole if all [conditions] hold, otherwise not at all. */
+/** Applied atomically if all [conditions] hold, otherwise not at all. */
 public class StoreTransaction(
     public val conditions: List<RowCondition> = emptyList(),
     public val writes: List<RowWrite> = emptyList(),
     public val deletes: List<RowId> = emptyList(),
 )
 
-/** How a transaction ended; only [Unknown] leaves open whether it took or will take effect. */
+/** Result of a transaction; only [Unknown] leaves open whether it took effect or will do so. */
 public sealed interface StoreOutcome {
     /** The transaction took effect as [version]. */
     public data class Applied(public val version: Long) : StoreOutcome
 
-    /** A condition did not hold; [rows] are the rows of the conditions as they are now. */
+    /** A condition did not hold; [rows] are the current rows of the conditions. */
     public class Conflict(public val rows: List<StoredRow>) : StoreOutcome
 
-    /** The store refused the call or was not reached; nothing was written. */
+    /** The store rejected the call or could not be reached; nothing was written. */
     public data class NotApplied(public val reason: String) : StoreOutcome
 
-    /** No answer came: the transaction may have been applied, or may still be. */
+    /** No response: the transaction may have been applied, or may be applied later. */
     public data class Unknown(public val reason: String) : StoreOutcome
 }
 
-/** Why a read gave no rows. */
+/** The reason why a read failed. */
 public sealed interface ReadFailure {
     public data class Unavailable(public val reason: String) : ReadFailure
 
-    /** The change feed no longer reaches back to the requested version; read the table afresh. */
+    /** The change feed no longer reaches back to the requested version; the table must be read again. */
     public data object HistoryGone : ReadFailure
 }
 
-/** A key range of one part; [fromKey] is included, [toKey] excluded. */
+/** A key range of one partition; [fromKey] is inclusive, [toKey] exclusive. */
 public data class RowRangeQuery(
     public val table: String,
     public val partition: String,
@@ -60,7 +60,7 @@
 /** Rows as of [version]. */
 public class RowPage(public val rows: List<StoredRow>, public val hasMore: Boolean, public val version: Long)
 
-/** The changes of a table after a version, in order; continue after [version]. */
+/** The changes of a table after a version, in order; the next read continues after [version]. */
 public class ChangePage(public val rows: List<StoredRow>, public val version: Long)
 
 /** Access to the store. */
--- a/core/src/main/kotlin/dev/bronzeshore/core/cluster/TaskName.kt
+++ b/core/src/main/kotlin/dev/bronzeshore/core/cluster/TaskName.kt
@@ -13,12 +13,12 @@
     override fun toString(): String = "$jobId.$occurrence.$step.$index"
 
     public companion object {
-        private const val FIELDS = 4
+        private const val FIELD_COUNT = 4
 
-        /** Parses the form that [toString] gives; null if the text names no task. */
+        /** Parses the format of [toString]; returns null if the text is not a task name. */
         public fun parse(text: String): TaskName? {
             val fields = text.split('.')
-            if (fields.size != FIELDS) return null
+            if (fields.size != FIELD_COUNT) return null
             val numbers = fields.drop(1).map { it.toIntOrNull()?.takeIf { number -> number >= 0 } ?: return null }
             return TaskName(fields[0], numbers[0], numbers[1], numbers[2])
         }
--- a/core/src/main/kotlin/dev/bronzeshore/core/cluster/Worker.kt
+++ b/core/src/main/kotlin/dev/bronzeshore/core/cluster/Worker.kt
@@ -1,12 +1,12 @@
-/** Workers as they register themselves, and the calls that they answer. */
+/** Workers as registered in the worker directory, and the requests that they serve. */
 package dev.bronzeshore.core.cluster
 
 import dev.bronzeshore.core.Resources
 
-/** One life of a worker: a worker that starts again under the same id is another life. */
+/** One incarnation of a worker: a worker that restarts under the same id is a new incarnation. */
 public data class WorkerIncarnation(public val workerId: String, public val startedAtMs: Long)
 
-/** What a worker says of itself. */
+/** The registration of a worker in the directory. */
 public data class WorkerEntry(
     public val incarnation: WorkerIncarnation,
     public val service: String,
@@ -15,17 +15,17 @@
     public val isDraining: Boolean,
     public val capacity: Resources,
     public val labels: Set<String>,
-    /** Least time until a draining worker leaves, or null. */
+    /** Minimum time until a draining worker leaves, or null. */
     public val remainingMs: Long?,
 )
 
-/** A change in the list of workers; [entry] is null when the worker has left or its entry has lapsed. */
+/** A change in the worker directory; [entry] is null when the worker has left or its entry has expired. */
 public data class WorkerChange(public val workerId: String, public val entry: WorkerEntry?)
 
-/** One run of a task; run numbers of a task rise with each start. */
+/** One run of a task; the run number of a task increases with each start. */
 public data class TaskRun(public val task: TaskName, public val run: Long)
 
-/** Starts a run unless the worker's clock has passed [validUntilWorkerMs] when the order arrives. */
+/** Request to start a run, unless the worker's clock has passed [validUntilWorkerMs] when the request arrives. */
 public data class StartRequest(
     public val run: TaskRun,
     public val payload: String,
@@ -35,44 +35,44 @@
     public val ticket: String?,
 )
 
-/** How a worker answered a start order. */
+/** Result of a start request. */
 public enum class StartResult {
     STARTED,
 
-    /** The worker has seen a higher fence: another leader is in charge. */
+    /** The worker has seen a higher fencing token: there is a newer leader. */
     FENCED,
 
-    /** A run with this or a higher number has ended or was stopped there. */
+    /** A run with this or a higher number has ended or was stopped on the worker. */
     SUPERSEDED,
 
-    /** The order arrived after its validity. */
+    /** The request arrived after its validity had ended. */
     TOO_LATE,
     NO_ROOM,
     BAD_TICKET,
 
-    /** The worker refused and did nothing. */
+    /** The worker refused the request and did nothing. */
     UNHEALTHY,
 
-    /** The address is used by another life or worker. */
+    /** The address is used by another worker or incarnation. */
     OTHER_WORKER,
     INVALID,
 
-    /** The worker could not be reached; the order was not sent. */
+    /** The worker could not be reached; the request was not sent. */
     NOT_SENT,
 
-    /** No answer: the order may have been carried out, or may be later. */
+    /** No response: the run may have been started, or may be started later. */
     UNKNOWN,
 }
 
-/** The answer to a start order and the worker's clock, if it answered. */
+/** Response to a start request, with the worker's clock if it responded. */
 public data class StartAnswer(public val result: StartResult, public val workerClockMs: Long? = null)
 
-/** Renews the lease of all runs on a worker, acknowledges ends and asks for what runs and what has ended. */
+/** Renews the lease of all runs on a worker, acknowledges ended runs and asks for a report of its runs. */
 public data class HoldRequest(
     public val fencingToken: Long,
     public val acknowledgedEnd: Long,
     public val leaseUntilWorkerMs: Long?,
-    /** The answer waits this long for an end. */
+    /** Time for which the worker delays its response until a run ends (long polling). */
     public val waitMs: Long,
 )
 
@@ -82,7 +82,7 @@
 /** Why a run ended. */
 public enum class EndKind { DONE, FAILED, STOPPED, LEASE_EXPIRED, GANG_BROKEN, GANG_INCOMPLETE }
 
-/** An end of a run; [number] rises by one with each end of a worker's life. */
+/** The end of a run; [number] increases by one with each run that ends in an incarnation of a worker. */
 public data class TaskEnd(
     public val number: Long,
     public val run: TaskRun,
@@ -90,7 +90,7 @@
     public val checkpoint: String?,
 )
 
-/** How a worker answered a hold order. */
+/** Response to a hold request. */
 public sealed interface HoldAnswer {
     public data class Report(
         public val startedAtMs: Long?,
@@ -99,7 +99,7 @@
         public val ends: List<TaskEnd>,
     ) : HoldAnswer
 
-    /** Another leader with a higher fence is in charge. */
+    /** The worker has seen a higher fencing token: there is a newer leader. */
     public data object Fenced : HoldAnswer
 
     /** The address is used by another worker. */
@@ -108,16 +108,16 @@
     public data class Unreachable(public val reason: String) : HoldAnswer
 }
 
-/** The calls that workers answer. */
+/** Requests that workers serve. */
 public class WorkerCalls(
     public val start: suspend (WorkerEntry, StartRequest) -> StartAnswer,
-    /** True if the worker confirmed that the run is stopped or will never start there. */
+    /** True if the worker confirmed that the run is stopped or will never start on it. */
     public val stop: suspend (WorkerEntry, TaskRun, fencingToken: Long) -> Boolean,
     public val hold: suspend (WorkerEntry, HoldRequest) -> HoldAnswer,
 )
 
-/** Permission to start a step on a worker. */
+/** Permission of the advice service to start a step on a worker. */
 public data class AdviceTicket(public val workerId: String, public val ticket: String)
 
-/** Asks which of the workers may run a step; null when the service gave no answer. */
+/** Asks the advice service which of the workers may run a step; null if it did not respond. */
 public typealias AdviceCall = suspend (StepName, workerIds: List<String>) -> List<AdviceTicket>?
