--- a/core/src/main/kotlin/dev/bronzeshore/core/SteadyClock.kt
+++ b/core/src/main/kotlin/dev/bronzeshore/core/MonotonicClock.kt
@@ -3,5 +3,5 @@
 
 private const val NANOS_PER_MS = 1_000_000L
 
-/** Milliseconds of the steady clock of this process; only differences have a meaning. */
-public val SteadyClock: ClockMs = { System.nanoTime() / NANOS_PER_MS }
+/** Milliseconds of the monotonic clock of this process; only differences have a meaning. */
+public val MonotonicClock: ClockMs = { System.nanoTime() / NANOS_PER_MS }
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/ProgressJournal.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/ProgressJournal.kt
@@ -66,7 +66,7 @@
         val roster = changedRoster()
         if (context.changes.isEmpty && counts == null && roster == null) return true
         val batch = context.changes.takeBatch(MAX_JOBS_IN_BATCH)
-        val beat = context.renewal.dueBeat()
+        val beat = context.renewal.dueHeartbeat()
         val writes =
             batch.jobs.map {
                 RowWrite(Tables.progressRow(it.id), encodeRow(JobProgress.serializer(), it.toProgress()))
@@ -107,7 +107,7 @@
     /** Either another process leads, or an earlier write without an answer has taken effect. */
     private suspend fun resolve(conflict: StoreOutcome.Conflict) {
         val isLeader = conflict.rows.any { it.id == Tables.TERM_ROW && it.version == context.termRowVersion }
-        if (!isLeader) return context.onDeposed()
+        if (!isLeader) return context.onLeadershipLost()
         journalRowVersion = conflict.rows.firstOrNull { it.id == Tables.JOURNAL_ROW }?.version ?: 0
     }
 
@@ -161,4 +161,4 @@
     }
 }
 
-internal fun TrackedWorker.toRoster() = RosterWorker(id, life.startedAtMs, entry.address, entry.service, heldJobs)
+internal fun TrackedWorker.toRoster() = RosterWorker(id, incarnation.startedAtMs, entry.address, entry.service, heldJobs)
--- a/server/src/main/kotlin/dev/bronzeshore/server/BronzeshoreProcess.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/BronzeshoreProcess.kt
@@ -7,7 +7,7 @@
 import dev.bronzeshore.core.ClockMs
 import dev.bronzeshore.core.Configuration
 import dev.bronzeshore.core.OwnedDataCentre
-import dev.bronzeshore.core.PartLog
+import dev.bronzeshore.core.ComponentLog
 import dev.bronzeshore.core.ProcessStatus
 import dev.bronzeshore.core.WorkKind
 import dev.bronzeshore.jobs.JobListeners
@@ -20,7 +20,7 @@
 import dev.bronzeshore.plans.ConfigurationHolder
 import dev.bronzeshore.plans.ConfigurationRefresher
 import dev.bronzeshore.plans.ConfigurationWriter
-import dev.bronzeshore.platform.createPlatformClient
+import dev.bronzeshore.platform.createPlatformHttpClient
 import dev.bronzeshore.platform.createTableApi
 import dev.bronzeshore.platform.createVmListApi
 import dev.bronzeshore.platform.createWorkerApi
@@ -59,12 +59,12 @@
     private val control: CoroutineDispatcher,
     private val onFatal: (Throwable) -> Unit,
 ) {
-    private val log = PartLog("server")
+    private val log = ComponentLog("server")
     private val fatalHandler = CoroutineExceptionHandler { _, failure -> onFatal(failure) }
     private val controlScope = CoroutineScope(control + SupervisorJob() + fatalHandler)
     private val trafficScope = CoroutineScope(Dispatchers.IO + SupervisorJob())
     private val selector = SelectorManager(Dispatchers.IO)
-    private val platformClient = createPlatformClient()
+    private val platformClient = createPlatformHttpClient()
     private val table = createTableApi(platformClient, settings.platform.tableUrl)
     private val self = Member(
         // Unique per start: a restarted process does not remember the promises that it made.
--- a/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterProcess.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterProcess.kt
@@ -4,27 +4,27 @@
 import arrow.core.right
 import dev.bronzeshore.core.ClockMs
 import dev.bronzeshore.core.EventLog
-import dev.bronzeshore.core.SteadyClock
+import dev.bronzeshore.core.MonotonicClock
 import dev.bronzeshore.core.cluster.AcceptedJob
 import dev.bronzeshore.core.cluster.ClusterSettings
-import dev.bronzeshore.core.cluster.JobDesk
+import dev.bronzeshore.core.cluster.JobOperations
 import dev.bronzeshore.core.cluster.NodeRow
 import dev.bronzeshore.core.cluster.StateAnswer
 import dev.bronzeshore.core.cluster.SubmitAnswer
-import dev.bronzeshore.intake.createStoreDesk
+import dev.bronzeshore.intake.createStoreJobOperations
 import dev.bronzeshore.leadership.LeaderElection
-import dev.bronzeshore.leadership.LeaderEvents
+import dev.bronzeshore.leadership.LeadershipCallbacks
 import dev.bronzeshore.leadership.LeaderTerm
 import dev.bronzeshore.leadership.candidateDelayMs
 import dev.bronzeshore.leadership.leaderCapacity
 import dev.bronzeshore.peering.PeerClient
 import dev.bronzeshore.peering.PeerServer
 import dev.bronzeshore.peering.handlerOf
-import dev.bronzeshore.platform.cluster.CallersPortAddresses
-import dev.bronzeshore.platform.cluster.CallersPortContext
-import dev.bronzeshore.platform.cluster.PlatformLink
-import dev.bronzeshore.platform.cluster.startCallersPort
-import dev.bronzeshore.scheduler.AdviceCaller
+import dev.bronzeshore.platform.cluster.CallerServerAddresses
+import dev.bronzeshore.platform.cluster.CallerServerContext
+import dev.bronzeshore.platform.cluster.PlatformClient
+import dev.bronzeshore.platform.cluster.startCallerServer
+import dev.bronzeshore.scheduler.AdviceClient
 import dev.bronzeshore.scheduler.LeaderDependencies
 import dev.bronzeshore.scheduler.LeaderTermRunner
 import dev.bronzeshore.scheduler.TermRenewal
@@ -68,11 +68,11 @@
     private val scope: CoroutineScope,
 ) {
     private val log = EventLog("process")
-    private val timeOfDay: ClockMs = System::currentTimeMillis
+    private val wallClock: ClockMs = System::currentTimeMillis
     private val bootId = UUID.randomUUID().toString()
     private val selector = SelectorManager(traffic)
-    private val platform = PlatformLink(selector, traffic, settings.storeAddress, settings.adviceAddress)
-    private val health = StoreHealth(SteadyClock)
+    private val platform = PlatformClient(selector, traffic, settings.storeAddress, settings.adviceAddress)
+    private val health = StoreHealth(MonotonicClock)
     private val store = health.watching(platform.store)
     private val peerCaller = newPeerCaller()
     private val ownRow = NodeRow(
@@ -82,25 +82,25 @@
         leaderCapacity(settings.processorShare, settings.linkMbps),
     )
     private val directory: NodeDirectory = NodeDirectory(store, ownRow) { election.currentTerm != null }
-    private val config = ConfigFollower(store, SteadyClock, { directory.peers }) { peer, version ->
+    private val config = ConfigWatcher(store, MonotonicClock, { directory.peers }) { peer, version ->
         peerCaller.call(peer, CONFIG_CALL, ConfigRequest(version), CONFIG_TIMEOUT_MS)?.content
     }
     private val metrics = ClusterMetrics({ config.current?.version ?: 0 }, { election.currentTerm?.term ?: 0 })
-    private val localDesk: JobDesk = createStoreDesk(store, SteadyClock, { health.isServed }, scope)
-    private val desk = PeerDesk(localDesk, health, { directory.peers }, peerCaller)
+    private val localDesk: JobOperations = createStoreJobOperations(store, MonotonicClock, { health.isServed }, scope)
+    private val desk = JobRequestForwarder(localDesk, health, { directory.peers }, peerCaller)
     private val election: LeaderElection = LeaderElection(
         store,
         ownRow,
-        SteadyClock,
+        MonotonicClock,
         { candidateDelayMs(ownRow, directory.peers) },
-        LeaderEvents(
-            gained = ::startTerm,
-            lost = { endTerm() },
-            storeLost = { term -> scope.launch(control) { passOnUnlessServed(term) } },
+        LeadershipCallbacks(
+            onGained = ::startTerm,
+            onLost = { endTerm() },
+            onRenewalFailed = { term -> scope.launch(control) { passOnUnlessServed(term) } },
         ),
     )
-    private val leaderLink: LeaderLink by lazy {
-        LeaderLink(ownRow, election, { directory.peers }, peerCaller, newPeerCaller())
+    private val leaderLink: LeaderClient by lazy {
+        LeaderClient(ownRow, election, { directory.peers }, peerCaller, newPeerCaller())
     }
     private var runner: LeaderTermRunner? = null
     private val inFlight = AtomicInteger()
@@ -112,19 +112,19 @@
     /** Starts all parts; returns once the ports listen. */
     suspend fun start() = withContext(control) {
         log.event("start", "process" to settings.processName, "data_centre" to settings.dataCentre, "boot" to bootId)
-        startCallersPort(
-            CallersPortAddresses(settings.callers, settings.readiness, settings.metrics),
-            CallersPortContext(
-                desk = countedDesk(),
+        startCallerServer(
+            CallerServerAddresses(settings.callers, settings.readiness, settings.metrics),
+            CallerServerContext(
+                jobs = countedDesk(),
                 config = { config.current },
                 isReady = { config.current != null && !isStopping },
                 isStopping = { isStopping },
-                clock = timeOfDay,
+                clock = wallClock,
                 metrics = metrics::scrape,
                 countAnswer = metrics::countAnswer,
             ),
         )
-        PeerServer(selector, timeOfDay, handlers()).start(settings.peers.host, settings.peers.port, scope)
+        PeerServer(selector, wallClock, handlers()).start(settings.peers.host, settings.peers.port, scope)
         scope.launch { directory.run() }
         scope.launch { config.run() }
         scope.launch { election.run() }
@@ -133,17 +133,17 @@
 
     /** Stops taking work, passes leadership on, and returns when the balancer and the callers have moved on. */
     suspend fun stop() {
-        val startedAtMs = SteadyClock()
+        val startedAtMs = MonotonicClock()
         isStopping = true
         log.event("stop", "process" to settings.processName, "leads" to (election.currentTerm != null))
         scope.launch(control) { passOnLeadership() }
         delay(BALANCER_NOTICE_MS)
         while (inFlight.get() > 0 &&
-            SteadyClock() - startedAtMs < settings.bounds.stopSignalGraceMs - EXIT_RESERVE_MS
+            MonotonicClock() - startedAtMs < settings.bounds.stopSignalGraceMs - EXIT_RESERVE_MS
         ) {
             delay(STOP_POLL_MS)
         }
-        log.event("stopped", "in_flight" to inFlight.get(), "duration_ms" to SteadyClock() - startedAtMs)
+        log.event("stopped", "in_flight" to inFlight.get(), "duration_ms" to MonotonicClock() - startedAtMs)
     }
 
     /** Leads on until another process has taken over; only without one is the term released unasked. */
@@ -159,12 +159,12 @@
 
     /** A busy leader's renewal may be late although the store serves it; only a second one in a row is a reason. */
     private suspend fun passOnUnlessServed(term: LeaderTerm) {
-        val now = SteadyClock()
+        val now = MonotonicClock()
         val isServed = now - health.succeededAtMs < RECENT_SUCCESS_MS && now - election.renewedAtMs < RENEWAL_OVERDUE_MS
         if (!isServed) passOn(term)
     }
 
-    private fun newPeerCaller() = PeerCaller(PeerClient(selector, timeOfDay, scope), timeOfDay)
+    private fun newPeerCaller() = TimedPeerClient(PeerClient(selector, wallClock, scope), wallClock)
 
     private suspend fun startTerm(won: LeaderTerm) {
         endTerm()
@@ -183,21 +183,21 @@
         store = store,
         calls = platform.workers,
         bounds = settings.bounds,
-        clock = SteadyClock,
-        timeOfDay = timeOfDay,
+        clock = MonotonicClock,
+        wallClock = wallClock,
         metrics = metrics.forScheduler(),
-        renewal = TermRenewal(election::dueBeat, election::renewed),
-        adviceCallers = ::adviceCallers,
-        workerTable = PlatformLink.WORKER_TABLE,
-        decodeWorker = PlatformLink::workerIn,
-        onDeposed = { scope.launch(control) { election.stepDown(won) } },
+        renewal = TermRenewal(election::dueHeartbeat, election::recordRenewal),
+        adviceClients = ::adviceClients,
+        workerTable = PlatformClient.WORKER_TABLE,
+        decodeWorker = PlatformClient::parseWorkerChange,
+        onLeadershipLost = { scope.launch(control) { election.stepDown(won) } },
     )
 
-    private fun adviceCallers(): List<AdviceCaller> {
+    private fun adviceClients(): List<AdviceClient> {
         val advice = platform.advice ?: return emptyList()
-        return listOf(AdviceCaller(settings.processName) { step, workers -> advice(step, workers) }) +
+        return listOf(AdviceClient(settings.processName) { step, workers -> advice(step, workers) }) +
             directory.peers.map { peer ->
-                AdviceCaller(peer.processName) { step, workers ->
+                AdviceClient(peer.processName) { step, workers ->
                     val request = AdviceRequest(step.jobId, step.occurrence, step.step, workers)
                     peerCaller.call(peer, ADVICE_CALL, request, ADVICE_TIMEOUT_MS)?.toTickets()
                 }
@@ -215,20 +215,20 @@
             }
             HandoverReply(isTaken).right()
         },
-        handlerOf(ANNOUNCE_CALL) { Announcement(onControl { runner?.takeAnnounced(it) } != null).right() },
+        handlerOf(ANNOUNCE_CALL) { Announcement(onControl { runner?.acceptAnnounced(it) } != null).right() },
         handlerOf(WATCH_CALL) { request ->
             delay(request.holdMs.coerceIn(0, WATCH_HOLD_MS))
             WatchReply(election.currentTerm != null).right()
         },
         handlerOf(CANCEL_CALL) { CancelReply(onControl { localDesk.cancel(it.jobId) }).right() },
-        handlerOf(COUNT_CALL) { CountReply(onControl { localDesk.waitingIn(it.queue) }).right() },
+        handlerOf(COUNT_CALL) { CountReply(onControl { localDesk.waitingJobCount(it.queue) }).right() },
         handlerOf(CONFIG_CALL) { ConfigReply(config.contentAfter(it.knownVersion)).right() },
     )
 
     private suspend fun submit(job: AcceptedJob): SubmitAnswer {
         val answer = desk.submit(job)
         if (answer is SubmitAnswer.Accepted && health.typicalWriteMs > ANNOUNCE_ABOVE_MS) {
-            scope.launch(control) { runner?.takeAnnounced(job) ?: leaderLink.announce(job) }
+            scope.launch(control) { runner?.acceptAnnounced(job) ?: leaderLink.announce(job) }
         }
         return answer
     }
@@ -242,11 +242,11 @@
 
     private suspend fun <T> onControl(work: suspend () -> T): T = withContext(control) { work() }
 
-    private fun countedDesk() = JobDesk(
+    private fun countedDesk() = JobOperations(
         submit = { counted { submit(it) } },
         stateOf = { counted { stateOf(it) } },
         cancel = { counted { desk.cancel(it) } },
-        waitingIn = { counted { desk.waitingIn(it) } },
+        waitingJobCount = { counted { desk.waitingJobCount(it) } },
     )
 
     private suspend fun <T> counted(work: suspend () -> T): T {
--- a/server/src/main/kotlin/dev/bronzeshore/server/cluster/LeaderLink.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/cluster/LeaderClient.kt
@@ -7,7 +7,7 @@
 package dev.bronzeshore.server.cluster
 
 import dev.bronzeshore.core.EventLog
-import dev.bronzeshore.core.SteadyClock
+import dev.bronzeshore.core.MonotonicClock
 import dev.bronzeshore.core.cluster.AcceptedJob
 import dev.bronzeshore.core.cluster.JobPhase
 import dev.bronzeshore.core.cluster.NodeRow
@@ -43,13 +43,13 @@
 /** A process that the store serves takes over in about 30 ms; one that it turns away must not hold up the next one. */
 private const val HANDOVER_NEXT_MS = 400L
 
-internal class LeaderLink(
+internal class LeaderClient(
     private val own: NodeRow,
     private val election: LeaderElection,
     private val peers: () -> List<NodeRow>,
-    private val calls: PeerCaller,
+    private val calls: TimedPeerClient,
     /** Has connections of its own: another call that is answered late ends the connection that it used. */
-    private val watchCalls: PeerCaller,
+    private val watchCalls: TimedPeerClient,
 ) {
     private val log = EventLog("leadership")
     private var isHandingOver = false
@@ -64,17 +64,17 @@
     }
 
     private suspend fun watchOnce(leader: KnownLeader) {
-        val startedAtMs = SteadyClock()
+        val startedAtMs = MonotonicClock()
         if (watchCalls.call(leader.node(), WATCH_CALL, WatchRequest(WATCH_HOLD_MS), WATCH_TIMEOUT_MS) != null) return
-        if (SteadyClock() - startedAtMs > BROKEN_WITHIN_MS ||
+        if (MonotonicClock() - startedAtMs > BROKEN_WITHIN_MS ||
             election.knownLeader?.term != leader.term
         ) {
             return delay(RETRY_MS)
         }
         delay(SECOND_TRY_PAUSE_MS)
-        val secondAtMs = SteadyClock()
+        val secondAtMs = MonotonicClock()
         if (watchCalls.call(leader.node(), WATCH_CALL, WatchRequest(0), SECOND_TRY_TIMEOUT_MS) != null) return
-        if (SteadyClock() - secondAtMs < SECOND_TRY_TIMEOUT_MS && election.knownLeader?.term == leader.term) {
+        if (MonotonicClock() - secondAtMs < SECOND_TRY_TIMEOUT_MS && election.knownLeader?.term == leader.term) {
             election.takeOverFrom(leader.term, "the leader's port is closed", isOnlyCandidate = false)
         }
         delay(RETRY_MS)
@@ -83,9 +83,9 @@
     /** What the leader knows of a job; null when it knows nothing or does not answer. */
     suspend fun phaseOf(jobId: String): JobPhase? {
         val leader = election.knownLeader ?: return null
-        if (leader.processName == own.processName || SteadyClock() < askAgainAtMs) return null
+        if (leader.processName == own.processName || MonotonicClock() < askAgainAtMs) return null
         val reply = calls.call(leader.node(), PHASE_CALL, JobRequest(jobId), STATE_TIMEOUT_MS)
-        if (reply == null) askAgainAtMs = SteadyClock() + LEADER_PAUSE_MS
+        if (reply == null) askAgainAtMs = MonotonicClock() + LEADER_PAUSE_MS
         return reply?.phase
     }
 
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/LeaderElectionTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/LeaderElectionTest.kt
@@ -5,7 +5,7 @@
 
 import dev.bronzeshore.core.cluster.NodeRow
 import dev.bronzeshore.leadership.LeaderElection
-import dev.bronzeshore.leadership.LeaderEvents
+import dev.bronzeshore.leadership.LeadershipCallbacks
 import dev.bronzeshore.standins.cluster.StoreStandIn
 import kotlinx.coroutines.ExperimentalCoroutinesApi
 import kotlinx.coroutines.Job
@@ -41,7 +41,11 @@
 
         fun boot(name: String): Candidate {
             val row = NodeRow(name, "$name-${scope.currentTime}", "$name:1")
-            val events = LeaderEvents(gained = { gained += it.term }, lost = {}, storeLost = { storeLost++ })
+            val events = LeadershipCallbacks(
+                onGained = { gained += it.term },
+                onLost = {},
+                onRenewalFailed = { storeLost++ },
+            )
             val election = LeaderElection(store.asSeenBy(name), row, { scope.currentTime }, { 0 }, events)
             return Candidate(name, election, scope.backgroundScope.launch { election.run() })
         }
@@ -52,7 +56,7 @@
 
     /** The leader of [term] or a later one; fails if there is none after [withinMs] of virtual time. */
     private suspend fun List<Candidate>.awaitLeader(term: Long = 1, withinMs: Long = AWAIT_MS): Candidate {
-        awaitThat(withinMs) { (leader()?.election?.currentTerm?.term ?: 0) >= term }
+        awaitUntil(withinMs) { (leader()?.election?.currentTerm?.term ?: 0) >= term }
         return checkNotNull(leader())
     }
 
@@ -85,10 +89,10 @@
         val candidates = List(3) { cluster.boot("n$it") }
         val leader = candidates.awaitLeader()
         cluster.store.faults.isDown = true
-        awaitThat(OUTAGE_MS) { cluster.storeLost >= FAILED_RENEWALS }
+        awaitUntil(OUTAGE_MS) { cluster.storeLost >= FAILED_RENEWALS }
         cluster.store.faults.isDown = false
         val backAtMs = currentTime
-        awaitThat { leader.election.renewedAtMs > backAtMs + LEADER_LOST_MS }
+        awaitUntil { leader.election.renewedAtMs > backAtMs + LEADER_LOST_MS }
         assertEquals(leader.name, candidates.leader()?.name)
         assertEquals(listOf(1L), cluster.gained)
     }
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/SchedulerTrial.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/SchedulerSimulation.kt
@@ -26,7 +26,7 @@
 import dev.bronzeshore.core.cluster.WorkerRosterRow
 import dev.bronzeshore.core.cluster.decodeRow
 import dev.bronzeshore.core.cluster.encodeRow
-import dev.bronzeshore.scheduler.AdviceCaller
+import dev.bronzeshore.scheduler.AdviceClient
 import dev.bronzeshore.scheduler.LeaderDependencies
 import dev.bronzeshore.scheduler.LeaderTermRunner
 import dev.bronzeshore.scheduler.SchedulerMetrics
@@ -59,7 +59,7 @@
     remoteFactor = 1.5,
 )
 
-internal class SchedulerTrial(private val scope: TestScope, seed: Long, workerCount: Int = 6) {
+internal class SchedulerSimulation(private val scope: TestScope, seed: Long, workerCount: Int = 6) {
     val random = Random(seed)
     val store = StoreStandIn(random, scope.backgroundScope)
     private val durations = HashMap<String, Long>()
@@ -73,7 +73,7 @@
     /** Terms of the queues of jobs that are submitted from now on. */
     var adviceTerms: AdviceTerms? = null
 
-    private val adviceCallers = List(ADVICE_CALLERS) { AdviceCaller("n$it", ::advise) }
+    private val adviceClients = List(ADVICE_CALLERS) { AdviceClient("n$it", ::advise) }
     private var term = 0L
     private var leader: Job? = null
     private val jobs = HashMap<Long, Job>()
@@ -98,7 +98,7 @@
 
     private fun register(change: WorkerChange) {
         val entry = change.entry
-        val key = entry?.let { "${it.life.workerId}@${it.life.startedAtMs}" }
+        val key = entry?.let { "${it.incarnation.workerId}@${it.incarnation.startedAtMs}" }
         if (entry != null && key != null) entries[key] = entry
         store.put(RowId(WORKER_TABLE, "", change.workerId), key?.toByteArray())
     }
@@ -117,13 +117,13 @@
             calls = workers.calls(lookDelayMs),
             bounds = boundsForTests(),
             clock = ::nowMs,
-            timeOfDay = ::nowMs,
+            wallClock = ::nowMs,
             metrics = SchedulerMetrics(),
             renewal = TermRenewal({ null }, {}),
-            adviceCallers = { adviceCallers },
+            adviceClients = { adviceClients },
             workerTable = WORKER_TABLE,
             decodeWorker = ::decode,
-            onDeposed = { jobs[version]?.cancel() },
+            onLeadershipLost = { jobs[version]?.cancel() },
         )
         val started = LeaderTermRunner(dependencies, term, version)
         runner = started
@@ -158,7 +158,7 @@
         isReached(withinMs) { phaseOf(id) == phase }
 
     /** Waits until the roster in the store names all workers, which is when tasks may start on them. */
-    suspend fun awaitRoster() = awaitThat {
+    suspend fun awaitRoster() = awaitUntil {
         val roster = store.valueOf(Tables.ROSTER_ROW)?.let { decodeRow(WorkerRosterRow.serializer(), it).workers }
         roster.orEmpty().map { it.workerId }.containsAll(workers.ids)
     }
