--- a/server/src/main/kotlin/dev/bronzeshore/server/BronzeshoreProcess.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/BronzeshoreProcess.kt
@@ -20,7 +20,7 @@
 import dev.bronzeshore.plans.ConfigurationHolder
 import dev.bronzeshore.plans.ConfigurationRefresher
 import dev.bronzeshore.plans.ConfigurationWriter
-import dev.bronzeshore.platform.createPlatformClient
+import dev.bronzeshore.platform.createPlatformHttpClient
 import dev.bronzeshore.platform.createTableApi
 import dev.bronzeshore.platform.createVmListApi
 import dev.bronzeshore.platform.createWorkerApi
@@ -64,7 +64,7 @@
     private val controlScope = CoroutineScope(control + SupervisorJob() + fatalHandler)
     private val trafficScope = CoroutineScope(Dispatchers.IO + SupervisorJob())
     private val selector = SelectorManager(Dispatchers.IO)
-    private val platformClient = createPlatformClient()
+    private val platformClient = createPlatformHttpClient()
     private val table = createTableApi(platformClient, settings.platform.tableUrl)
     private val self = Member(
         // Unique per start: a restarted process does not remember the promises that it made.
--- a/server/src/main/kotlin/dev/bronzeshore/server/Main.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/Main.kt
@@ -3,7 +3,7 @@
 
 import arrow.core.Either
 import dev.bronzeshore.core.Fault
-import dev.bronzeshore.platform.cluster.PlatformLink
+import dev.bronzeshore.platform.cluster.PlatformClient
 import dev.bronzeshore.server.cluster.recordClasses
 import dev.bronzeshore.server.cluster.runClusterProcess
 import org.kohsuke.args4j.Argument
@@ -56,7 +56,7 @@
     if (arguments.checkOnly) println("${arguments.settingsFile} is valid.") else runProcess(settings)
 }
 
-private fun platformSettingsFile(): String = PlatformLink.settingsFile() ?: run {
+private fun platformSettingsFile(): String = PlatformClient.settingsFilePath() ?: run {
     System.err.println("The platform has named no settings file.")
     exitProcess(EXIT_USAGE)
 }
--- a/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClassRecording.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClassRecording.kt
@@ -24,7 +24,7 @@
 import dev.bronzeshore.core.cluster.StoredRow
 import dev.bronzeshore.core.cluster.decodeRow
 import dev.bronzeshore.core.cluster.encodeRow
-import dev.bronzeshore.platform.cluster.PlatformLink
+import dev.bronzeshore.platform.cluster.PlatformClient
 import io.ktor.network.selector.SelectorManager
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.Dispatchers
@@ -83,7 +83,7 @@
 }
 
 private suspend fun exerciseCalls(settings: ClusterSettings) {
-    val link = PlatformLink(
+    val link = PlatformClient(
         SelectorManager(Dispatchers.IO),
         Dispatchers.IO,
         "$LOOPBACK:${settings.metrics.port}",
@@ -102,6 +102,6 @@
     decodeRow(JobProgress.serializer(), encodeRow(JobProgress.serializer(), progress))
     val node = NodeRow("none", "none", "none")
     decodeRow(NodeRow.serializer(), encodeRow(NodeRow.serializer(), node))
-    PlatformLink.configIn("""{"version":1,"routes":[],"limits":{}}""".toByteArray())
-    PlatformLink.workerIn(StoredRow(RowId("none", "", "none"), """{"state":"ready"}""".toByteArray(), 1))
+    PlatformClient.parseConfig("""{"version":1,"routes":[],"limits":{}}""".toByteArray())
+    PlatformClient.parseWorkerChange(StoredRow(RowId("none", "", "none"), """{"state":"ready"}""".toByteArray(), 1))
 }
--- a/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterProcess.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterProcess.kt
@@ -20,10 +20,10 @@
 import dev.bronzeshore.peering.PeerClient
 import dev.bronzeshore.peering.PeerServer
 import dev.bronzeshore.peering.handlerOf
-import dev.bronzeshore.platform.cluster.CallersPortAddresses
-import dev.bronzeshore.platform.cluster.CallersPortContext
-import dev.bronzeshore.platform.cluster.PlatformLink
-import dev.bronzeshore.platform.cluster.startCallersPort
+import dev.bronzeshore.platform.cluster.CallerServerAddresses
+import dev.bronzeshore.platform.cluster.CallerServerContext
+import dev.bronzeshore.platform.cluster.PlatformClient
+import dev.bronzeshore.platform.cluster.startCallerServer
 import dev.bronzeshore.scheduler.AdviceCaller
 import dev.bronzeshore.scheduler.LeaderDependencies
 import dev.bronzeshore.scheduler.LeaderTermRunner
@@ -71,7 +71,7 @@
     private val timeOfDay: ClockMs = System::currentTimeMillis
     private val bootId = UUID.randomUUID().toString()
     private val selector = SelectorManager(traffic)
-    private val platform = PlatformLink(selector, traffic, settings.storeAddress, settings.adviceAddress)
+    private val platform = PlatformClient(selector, traffic, settings.storeAddress, settings.adviceAddress)
     private val health = StoreHealth(SteadyClock)
     private val store = health.watching(platform.store)
     private val peerCaller = newPeerCaller()
@@ -112,10 +112,10 @@
     /** Starts all parts; returns once the ports listen. */
     suspend fun start() = withContext(control) {
         log.event("start", "process" to settings.processName, "data_centre" to settings.dataCentre, "boot" to bootId)
-        startCallersPort(
-            CallersPortAddresses(settings.callers, settings.readiness, settings.metrics),
-            CallersPortContext(
-                desk = countedDesk(),
+        startCallerServer(
+            CallerServerAddresses(settings.callers, settings.readiness, settings.metrics),
+            CallerServerContext(
+                jobs = countedDesk(),
                 config = { config.current },
                 isReady = { config.current != null && !isStopping },
                 isStopping = { isStopping },
@@ -188,8 +188,8 @@
         metrics = metrics.forScheduler(),
         renewal = TermRenewal(election::dueBeat, election::renewed),
         adviceCallers = ::adviceCallers,
-        workerTable = PlatformLink.WORKER_TABLE,
-        decodeWorker = PlatformLink::workerIn,
+        workerTable = PlatformClient.WORKER_TABLE,
+        decodeWorker = PlatformClient::parseWorkerChange,
         onDeposed = { scope.launch(control) { election.stepDown(won) } },
     )
 
--- a/server/src/main/kotlin/dev/bronzeshore/server/cluster/ConfigFollower.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/cluster/ConfigFollower.kt
@@ -10,7 +10,7 @@
 import dev.bronzeshore.core.cluster.ReadFailure
 import dev.bronzeshore.core.cluster.RowRangeQuery
 import dev.bronzeshore.core.cluster.StoredRow
-import dev.bronzeshore.platform.cluster.PlatformLink
+import dev.bronzeshore.platform.cluster.PlatformClient
 import kotlinx.coroutines.coroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
@@ -64,7 +64,7 @@
     private suspend fun followStore() {
         while (!readAll()) delay(RETRY_MS)
         while (true) {
-            store.changes(PlatformLink.OPERATOR_TABLE, feedVersion, FEED_WAIT_MS).fold(
+            store.changes(PlatformClient.OPERATOR_TABLE, feedVersion, FEED_WAIT_MS).fold(
                 ifLeft = { failure ->
                     if (failure is ReadFailure.HistoryGone) readAll()
                     delay(RETRY_MS)
@@ -82,7 +82,7 @@
     fun contentAfter(knownVersion: Long): ByteArray? = content.takeIf { (current?.version ?: 0) > knownVersion }
 
     private suspend fun readAll(): Boolean {
-        val page = store.readPage(RowRangeQuery(PlatformLink.OPERATOR_TABLE, "")).getOrNull() ?: return false
+        val page = store.readPage(RowRangeQuery(PlatformClient.OPERATOR_TABLE, "")).getOrNull() ?: return false
         answeredAtMs = clock()
         page.rows.forEach(::take)
         feedVersion = maxOf(feedVersion, page.version)
@@ -92,12 +92,12 @@
     private suspend fun askSomePeer() {
         val peer = peers().randomOrNull(Random) ?: return
         askPeer(peer, current?.version ?: 0)
-            ?.let { takeContent(it, PlatformLink.configIn(it), "peer ${peer.processName}") }
+            ?.let { takeContent(it, PlatformClient.parseConfig(it), "peer ${peer.processName}") }
     }
 
     private fun take(row: StoredRow) {
         val value = row.value ?: return
-        takeContent(value, PlatformLink.configIn(row) ?: return, "store version ${row.version}")
+        takeContent(value, PlatformClient.parseConfig(row) ?: return, "store version ${row.version}")
     }
 
     private fun takeContent(bytes: ByteArray, decoded: Either<String, ClusterConfig>, source: String) {
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/ConfigFollowerTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/ConfigFollowerTest.kt
@@ -3,7 +3,7 @@
 
 import dev.bronzeshore.core.cluster.NodeRow
 import dev.bronzeshore.core.cluster.RowId
-import dev.bronzeshore.platform.cluster.PlatformLink
+import dev.bronzeshore.platform.cluster.PlatformClient
 import dev.bronzeshore.standins.cluster.StoreStandIn
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.test.TestScope
@@ -28,7 +28,7 @@
         }
 
         fun write(version: Int) = store.put(
-            RowId(PlatformLink.OPERATOR_TABLE, "", "config"),
+            RowId(PlatformClient.OPERATOR_TABLE, "", "config"),
             """{"version":$version,"routes":[]}""".toByteArray(),
         )
 
