--- a/intake/src/main/kotlin/dev/bronzeshore/intake/StoreDesk.kt
+++ b/intake/src/main/kotlin/dev/bronzeshore/intake/StoreJobOperations.kt
@@ -24,17 +24,17 @@
 private const val COUNTS_MAX_AGE_MS = 700L
 
 /** Creates the desk; its writers run in [scope]. */
-public fun createStoreDesk(
+public fun createStoreJobOperations(
     store: ClusterStore,
     clock: ClockMs,
     isServed: () -> Boolean,
     scope: CoroutineScope,
 ): JobDesk {
-    val desk = StoreDesk(store, clock, isServed, scope)
+    val desk = StoreJobOperations(store, clock, isServed, scope)
     return JobDesk(desk::submit, desk::stateOf, desk::cancel, desk::waitingIn)
 }
 
-private class StoreDesk(
+private class StoreJobOperations(
     private val store: ClusterStore,
     private val clock: ClockMs,
     isServed: () -> Boolean,
--- a/leadership/src/main/kotlin/dev/bronzeshore/leadership/LeaderElection.kt
+++ b/leadership/src/main/kotlin/dev/bronzeshore/leadership/LeaderElection.kt
@@ -34,11 +34,11 @@
 private const val CANDIDATE_SPREAD_MS = 40L
 
 /** What happens when leadership passes. */
-public class LeaderEvents(
-    public val gained: suspend (LeaderTerm) -> Unit,
-    public val lost: suspend (LeaderTerm) -> Unit,
+public class LeadershipCallbacks(
+    public val onGained: suspend (LeaderTerm) -> Unit,
+    public val onLost: suspend (LeaderTerm) -> Unit,
     /** The store did not take a renewal; another process may be served and could lead instead. */
-    public val storeLost: suspend (LeaderTerm) -> Unit,
+    public val onRenewalFailed: suspend (LeaderTerm) -> Unit,
 )
 
 /** Runs on the control thread. [candidateDelayMs] is the time for which a takeover is left to stronger processes. */
@@ -47,10 +47,10 @@
     private val own: NodeRow,
     private val clock: ClockMs,
     private val candidateDelayMs: () -> Long,
-    private val events: LeaderEvents,
+    private val events: LeadershipCallbacks,
 ) {
     private val log = EventLog("leadership")
-    private val view = LeaderView(own.processName, own.bootId, clock)
+    private val view = LeaderTracker(own.processName, own.bootId, clock)
     private var held: LeaderTerm? = null
     private var beatNumber = 0L
     private var beatSentAtMs = Long.MIN_VALUE / 2
@@ -69,7 +69,7 @@
         get() = view.term?.let { KnownLeader(it.term, it.processName, it.peerAddress) }
 
     /** The sign of life to write along with other rows of the leader, or null when it is not due. */
-    public fun dueBeat(): RowWrite? {
+    public fun dueHeartbeat(): RowWrite? {
         val term = held ?: return null
         if (clock() - beatSentAtMs < BEAT_EVERY_MS) return null
         beatSentAtMs = clock()
@@ -77,7 +77,7 @@
     }
 
     /** A sign of life was stored by a call that was sent at [sentAtMs]. */
-    public fun renewed(sentAtMs: Long) {
+    public fun recordRenewal(sentAtMs: Long) {
         renewedAtMs = maxOf(renewedAtMs, sentAtMs)
     }
 
@@ -197,7 +197,7 @@
         beatNumber = 0
         renewedAtMs = clock()
         log.event("gained", "term" to term.term, "version" to term.termRowVersion)
-        events.gained(term)
+        events.onGained(term)
     }
 
     private suspend fun renew() {
@@ -210,13 +210,13 @@
         val sentAtMs = clock()
         beatSentAtMs = sentAtMs
         when (val outcome = store.transact(beatTransaction(term, isReleased = false))) {
-            is StoreOutcome.Applied -> renewed(sentAtMs)
+            is StoreOutcome.Applied -> recordRenewal(sentAtMs)
 
             is StoreOutcome.Conflict -> stepDown(term)
 
             else -> {
                 log.event("renewal_failed", "term" to term.term, "outcome" to outcome)
-                events.storeLost(term)
+                events.onRenewalFailed(term)
             }
         }
     }
@@ -237,7 +237,7 @@
         held = null
         lastEndedTerm = maxOf(lastEndedTerm, term.term)
         log.event("lost", "term" to term.term)
-        events.lost(term)
+        events.onLost(term)
         while (!readAll()) delay(RETRY_MS)
     }
 }
--- a/leadership/src/main/kotlin/dev/bronzeshore/leadership/LeaderView.kt
+++ b/leadership/src/main/kotlin/dev/bronzeshore/leadership/LeaderTracker.kt
@@ -18,7 +18,7 @@
 /** In a slow spell of the store the signs of life come later: as many of them must be missing. */
 private const val SILENT_BEATS = 2
 
-internal class LeaderView(private val processName: String, private val bootId: String, private val clock: ClockMs) {
+internal class LeaderTracker(private val processName: String, private val bootId: String, private val clock: ClockMs) {
     private val log = PartLog("leadership")
     var term: TermRow? = null
         private set
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/ProgressJournal.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/ProgressJournal.kt
@@ -66,7 +66,7 @@
         val roster = changedRoster()
         if (context.changes.isEmpty && counts == null && roster == null) return true
         val batch = context.changes.takeBatch(MAX_JOBS_IN_BATCH)
-        val beat = context.renewal.dueBeat()
+        val beat = context.renewal.dueHeartbeat()
         val writes =
             batch.jobs.map {
                 RowWrite(Tables.progressRow(it.id), encodeRow(JobProgress.serializer(), it.toProgress()))
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/TermContext.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/TermContext.kt
@@ -12,7 +12,7 @@
 /** The leader's sign of life, which the journal writes along with its own rows when it is due. */
 public class TermRenewal(
     /** The row to write, or null when the last sign of life is recent. */
-    public val dueBeat: () -> RowWrite?,
+    public val dueHeartbeat: () -> RowWrite?,
     /** The row was written by a call that was sent at the given steady time. */
     public val renewed: (sentAtMs: Long) -> Unit,
 )
--- a/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterProcess.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterProcess.kt
@@ -11,9 +11,9 @@
 import dev.bronzeshore.core.cluster.NodeRow
 import dev.bronzeshore.core.cluster.StateAnswer
 import dev.bronzeshore.core.cluster.SubmitAnswer
-import dev.bronzeshore.intake.createStoreDesk
+import dev.bronzeshore.intake.createStoreJobOperations
 import dev.bronzeshore.leadership.LeaderElection
-import dev.bronzeshore.leadership.LeaderEvents
+import dev.bronzeshore.leadership.LeadershipCallbacks
 import dev.bronzeshore.leadership.LeaderTerm
 import dev.bronzeshore.leadership.candidateDelayMs
 import dev.bronzeshore.leadership.leaderCapacity
@@ -86,17 +86,17 @@
         peerCaller.call(peer, CONFIG_CALL, ConfigRequest(version), CONFIG_TIMEOUT_MS)?.content
     }
     private val metrics = ClusterMetrics({ config.current?.version ?: 0 }, { election.currentTerm?.term ?: 0 })
-    private val localDesk: JobDesk = createStoreDesk(store, SteadyClock, { health.isServed }, scope)
+    private val localDesk: JobDesk = createStoreJobOperations(store, SteadyClock, { health.isServed }, scope)
     private val desk = PeerDesk(localDesk, health, { directory.peers }, peerCaller)
     private val election: LeaderElection = LeaderElection(
         store,
         ownRow,
         SteadyClock,
         { candidateDelayMs(ownRow, directory.peers) },
-        LeaderEvents(
-            gained = ::startTerm,
-            lost = { endTerm() },
-            storeLost = { term -> scope.launch(control) { passOnUnlessServed(term) } },
+        LeadershipCallbacks(
+            onGained = ::startTerm,
+            onLost = { endTerm() },
+            onRenewalFailed = { term -> scope.launch(control) { passOnUnlessServed(term) } },
         ),
     )
     private val leaderLink: LeaderLink by lazy {
@@ -186,7 +186,7 @@
         clock = SteadyClock,
         timeOfDay = timeOfDay,
         metrics = metrics.forScheduler(),
-        renewal = TermRenewal(election::dueBeat, election::renewed),
+        renewal = TermRenewal(election::dueHeartbeat, election::recordRenewal),
         adviceCallers = ::adviceCallers,
         workerTable = PlatformLink.WORKER_TABLE,
         decodeWorker = PlatformLink::workerIn,
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/LeaderElectionTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/LeaderElectionTest.kt
@@ -5,7 +5,7 @@
 
 import dev.bronzeshore.core.cluster.NodeRow
 import dev.bronzeshore.leadership.LeaderElection
-import dev.bronzeshore.leadership.LeaderEvents
+import dev.bronzeshore.leadership.LeadershipCallbacks
 import dev.bronzeshore.standins.cluster.StoreStandIn
 import kotlinx.coroutines.ExperimentalCoroutinesApi
 import kotlinx.coroutines.Job
@@ -41,7 +41,11 @@
 
         fun boot(name: String): Candidate {
             val row = NodeRow(name, "$name-${scope.currentTime}", "$name:1")
-            val events = LeaderEvents(gained = { gained += it.term }, lost = {}, storeLost = { storeLost++ })
+            val events = LeadershipCallbacks(
+                onGained = { gained += it.term },
+                onLost = {},
+                onRenewalFailed = { storeLost++ },
+            )
             val election = LeaderElection(store.asSeenBy(name), row, { scope.currentTime }, { 0 }, events)
             return Candidate(name, election, scope.backgroundScope.launch { election.run() })
         }
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/LeaderLinkTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/LeaderLinkTest.kt
@@ -8,7 +8,7 @@
 import dev.bronzeshore.core.cluster.NodeRow
 import dev.bronzeshore.core.cluster.QueueTerms
 import dev.bronzeshore.leadership.LeaderElection
-import dev.bronzeshore.leadership.LeaderEvents
+import dev.bronzeshore.leadership.LeadershipCallbacks
 import dev.bronzeshore.peering.PeerClient
 import dev.bronzeshore.peering.PeerServer
 import dev.bronzeshore.peering.handlerOf
@@ -45,7 +45,7 @@
             row,
             SteadyClock,
             { 0 },
-            LeaderEvents(gained = {}, lost = {}, storeLost = {}),
+            LeadershipCallbacks(onGained = {}, onLost = {}, onRenewalFailed = {}),
         )
 
         /** A leader that answers watches late and announcements far too late. */
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/StoreDeskTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/StoreJobOperationsTest.kt
@@ -15,7 +15,7 @@
 import dev.bronzeshore.core.cluster.SubmitAnswer
 import dev.bronzeshore.core.cluster.Tables
 import dev.bronzeshore.core.cluster.encodeRow
-import dev.bronzeshore.intake.createStoreDesk
+import dev.bronzeshore.intake.createStoreJobOperations
 import dev.bronzeshore.standins.cluster.StoreStandIn
 import kotlinx.coroutines.ExperimentalCoroutinesApi
 import kotlinx.coroutines.async
@@ -30,11 +30,11 @@
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
-class StoreDeskTest {
+class StoreJobOperationsTest {
     private class Setup(scope: TestScope, isServed: Boolean = true) {
         val store = StoreStandIn(Random(1), scope.backgroundScope)
         val desk: JobDesk =
-            createStoreDesk(store.asSeenBy("node"), { scope.currentTime }, { isServed }, scope.backgroundScope)
+            createStoreJobOperations(store.asSeenBy("node"), { scope.currentTime }, { isServed }, scope.backgroundScope)
     }
 
     private fun job(number: Int): AcceptedJob {
