--- a/intake/src/main/kotlin/dev/bronzeshore/intake/StoreJobOperations.kt
+++ b/intake/src/main/kotlin/dev/bronzeshore/intake/StoreJobOperations.kt
@@ -1,4 +1,4 @@
-/** Answers callers from the store, so that any process can answer for any job. */
+/** Serves job requests from the store, so that any process can answer for any job. */
 package dev.bronzeshore.intake
 
 import dev.bronzeshore.core.ClockMs
@@ -20,29 +20,31 @@
 import dev.bronzeshore.core.cluster.decodeRow
 import kotlinx.coroutines.CoroutineScope
 
-/** Callers accept counts that are two seconds old; the leader writes them up to half a second late. */
+/** Callers accept counts that are up to two seconds old; the leader writes them up to half a second late. */
 private const val COUNTS_MAX_AGE_MS = 700L
 
-/** Creates the desk; its writers run in [scope]. */
+/** Creates job operations on [store]; their writers run in [scope]. */
 public fun createStoreJobOperations(
     store: ClusterStore,
     clock: ClockMs,
-    isServed: () -> Boolean,
+    isStoreAvailable: () -> Boolean,
     scope: CoroutineScope,
 ): JobDesk {
-    val desk = StoreJobOperations(store, clock, isServed, scope)
-    return JobDesk(desk::submit, desk::stateOf, desk::cancel, desk::waitingIn)
+    val operations = StoreJobOperations(store, clock, isStoreAvailable, scope)
+    return JobDesk(operations::submit, operations::stateOf, operations::cancel, operations::waitingIn)
 }
 
 private class StoreJobOperations(
     private val store: ClusterStore,
     private val clock: ClockMs,
-    isServed: () -> Boolean,
+    isStoreAvailable: () -> Boolean,
     scope: CoroutineScope,
 ) {
     private val log = EventLog("intake")
-    private val writers = Tables.INTAKE_PARTS.associateWith { SubmissionWriter(store, clock, isServed, scope) }
-    private var counts: WaitingCounts? = null
+    private val writers = Tables.INTAKE_PARTS.associateWith {
+        SubmissionWriter(store, clock, isStoreAvailable, scope)
+    }
+    private var waitingCounts: WaitingCounts? = null
     private var countsReadAtMs = 0L
 
     suspend fun submit(job: AcceptedJob): SubmitAnswer = writers.getValue(Tables.intakePartOf(job.jobId)).submit(job)
@@ -50,25 +52,26 @@
     suspend fun stateOf(jobId: String): StateAnswer {
         val progress = progressOf(jobId)
         if (progress != StateAnswer.NoSuchJob) return progress
-        val intake = rowsOf(Tables.INTAKE, Tables.intakePartOf(jobId), jobId) ?: return StateAnswer.Unavailable
+        val intakeRows = readJobRows(Tables.INTAKE, Tables.intakePartOf(jobId), jobId)
+            ?: return StateAnswer.Unavailable
         return when {
-            // The job may have ended since the first look, and its accepted row may have been deleted.
-            intake.none { it.id.key == jobId } -> progressOf(jobId)
+            // The job may have ended since its progress was read, and its accepted row may have been deleted.
+            intakeRows.none { it.id.key == jobId } -> progressOf(jobId)
 
-            intake.any { Tables.cancelledJobOf(it.id.key) != null } -> StateAnswer.Found(JobPhase.CANCELLED)
+            intakeRows.any { Tables.cancelledJobOf(it.id.key) != null } -> StateAnswer.Found(JobPhase.CANCELLED)
 
             else -> StateAnswer.Found(JobPhase.PENDING)
         }
     }
 
     private suspend fun progressOf(jobId: String): StateAnswer {
-        val rows = rowsOf(Tables.PROGRESS, Tables.LEADER_PART, jobId) ?: return StateAnswer.Unavailable
+        val rows = readJobRows(Tables.PROGRESS, Tables.LEADER_PART, jobId) ?: return StateAnswer.Unavailable
         val value = rows.firstOrNull { it.id.key == jobId }?.value ?: return StateAnswer.NoSuchJob
         return StateAnswer.Found(decodeRow(JobProgress.serializer(), value).phase)
     }
 
-    private suspend fun rowsOf(table: String, part: String, jobId: String): List<StoredRow>? =
-        store.readPage(Tables.rowsOfJob(table, part, jobId)).fold(
+    private suspend fun readJobRows(table: String, partition: String, jobId: String): List<StoredRow>? =
+        store.readPage(Tables.rowsOfJob(table, partition, jobId)).fold(
             ifLeft = { failure ->
                 log.event("state_unavailable", "job" to jobId, "cause" to failure)
                 null
@@ -76,7 +79,7 @@
             ifRight = { it.rows },
         )
 
-    /** The cancellation is stored also for an unknown job: its submission may still be on its way to the store. */
+    /** Stores the cancellation of an unknown job too, because its submission may still be in flight to the store. */
     suspend fun cancel(jobId: String): Boolean {
         val transaction = StoreTransaction(writes = listOf(RowWrite(Tables.cancelRow(jobId), ByteArray(0))))
         var outcome = store.transact(transaction)
@@ -87,7 +90,7 @@
 
     suspend fun waitingIn(queue: String): Int? {
         if (clock() - countsReadAtMs > COUNTS_MAX_AGE_MS) readCounts()
-        return counts?.let { it.byQueue[queue] ?: 0 }
+        return waitingCounts?.let { it.byQueue[queue] ?: 0 }
     }
 
     private suspend fun readCounts() {
@@ -99,7 +102,7 @@
         )
         val page = store.readPage(query).getOrNull() ?: return
         countsReadAtMs = clock()
-        counts = page.rows.firstOrNull()?.value?.let { decodeRow(WaitingCounts.serializer(), it) }
+        waitingCounts = page.rows.firstOrNull()?.value?.let { decodeRow(WaitingCounts.serializer(), it) }
             ?: WaitingCounts(emptyMap())
     }
 }
--- a/intake/src/main/kotlin/dev/bronzeshore/intake/SubmissionWriter.kt
+++ b/intake/src/main/kotlin/dev/bronzeshore/intake/SubmissionWriter.kt
@@ -1,9 +1,9 @@
 /**
  * Stores accepted jobs, several in one transaction.
  *
- * A job is accepted when its row exists. The row of a job that was submitted before stays as it is, so that a repeated
- * submission is one job. Nobody waits for a batch to fill: a transaction takes whatever has come while the one before
- * was on its way.
+ * A job is accepted once its row exists. The row of a job that was submitted before stays unchanged, so that repeated
+ * submissions are idempotent. A transaction does not wait for a full batch: it takes all jobs that have arrived while
+ * the previous one was in flight.
  */
 package dev.bronzeshore.intake
 
@@ -24,29 +24,29 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 
-/** A transaction takes 100 entries and 1 MB; a job takes two entries and at most about 12 KB. */
-private const val MAX_BATCH = 45
+/** A transaction is limited to 100 entries and 1 MB; a job takes two entries and at most about 12 KB. */
+private const val MAX_BATCH_SIZE = 45
 
-/** Jobs waiting for a transaction; more are refused at once, because the store is then far behind. */
-private const val MAX_WAITING = 400
-private const val STORE_RETRY_MS = 1_000L
+/** Jobs that may wait for a transaction; more are rejected at once, because the store then has a long backlog. */
+private const val MAX_PENDING_JOBS = 400
+private const val RETRY_AFTER_MS = 1_000L
 
-/** Time for which a refused write is tried again; callers wait three seconds for an answer. */
-private const val RETRY_REFUSED_MS = 300L
-private const val REFUSED_PAUSE_MS = 100L
+/** How long a write that the store refuses is retried; callers wait three seconds for an answer. */
+private const val MAX_RETRY_TIME_MS = 300L
+private const val RETRY_DELAY_MS = 100L
 
 private class PendingJob(val job: AcceptedJob, val answer: CompletableDeferred<SubmitAnswer> = CompletableDeferred())
 
-/** Writes the jobs of one part of the intake table; runs in [scope]. */
+/** Writes the jobs of one partition of the intake table; runs in [scope]. */
 internal class SubmissionWriter(
     private val store: ClusterStore,
     private val clock: ClockMs,
-    /** False while the store refuses all calls of this process, so that trying again only delays the answer. */
-    private val isServed: () -> Boolean,
+    /** False while the store refuses all calls of this process, so that a retry only delays the answer. */
+    private val isStoreAvailable: () -> Boolean,
     scope: CoroutineScope,
 ) {
     private val log = EventLog("intake")
-    private val pending = Channel<PendingJob>(MAX_WAITING)
+    private val pending = Channel<PendingJob>(MAX_PENDING_JOBS)
 
     init {
         scope.launch { while (true) write(nextBatch()) }
@@ -54,20 +54,20 @@
 
     suspend fun submit(job: AcceptedJob): SubmitAnswer {
         val entry = PendingJob(job)
-        if (!pending.trySend(entry).isSuccess) return rejected("the store is too far behind")
+        if (!pending.trySend(entry).isSuccess) return rejected("too many submissions are waiting for the store")
         return entry.answer.await()
     }
 
     private suspend fun nextBatch(): List<PendingJob> {
         val batch = mutableListOf(pending.receive())
-        while (batch.size < MAX_BATCH) batch += pending.tryReceive().getOrNull() ?: break
+        while (batch.size < MAX_BATCH_SIZE) batch += pending.tryReceive().getOrNull() ?: break
         return batch
     }
 
     private suspend fun write(batch: List<PendingJob>) {
         var open = batch
-        var isSettling = false
-        val retryUntilMs = clock() + RETRY_REFUSED_MS
+        var isUncertain = false
+        val retryUntilMs = clock() + MAX_RETRY_TIME_MS
         while (open.isNotEmpty()) {
             when (val outcome = store.transact(transactionFor(open))) {
                 is StoreOutcome.Applied -> return open.answerAll(SubmitAnswer.Accepted)
@@ -79,20 +79,20 @@
                     open = open.filter { it.job.jobId !in stored }
                 }
 
-                // A part refuses calls when it is far behind; it catches up within a second or two.
+                // A partition with a long backlog refuses calls; it catches up within one or two seconds.
                 is StoreOutcome.NotApplied -> {
-                    if (!isServed() ||
+                    if (!isStoreAvailable() ||
                         clock() >= retryUntilMs
                     ) {
-                        return open.answerAll(refusal(outcome.reason, isSettling))
+                        return open.answerAll(rejectedOrUnknown(outcome.reason, isUncertain))
                     }
-                    delay(REFUSED_PAUSE_MS)
+                    delay(RETRY_DELAY_MS)
                 }
 
-                // A second attempt under the same condition finds out whether the first one took effect.
+                // A second attempt with the same conditions shows whether the first one took effect.
                 is StoreOutcome.Unknown -> {
-                    if (isSettling) return open.answerAll(SubmitAnswer.Unknown(outcome.reason))
-                    isSettling = true
+                    if (isUncertain) return open.answerAll(SubmitAnswer.Unknown(outcome.reason))
+                    isUncertain = true
                 }
             }
         }
@@ -111,8 +111,8 @@
         it.answer.complete(answer)
     }
 
-    private fun refusal(reason: String, isSettling: Boolean) =
-        if (isSettling) SubmitAnswer.Unknown(reason) else rejected(reason)
+    private fun rejectedOrUnknown(reason: String, isUncertain: Boolean) =
+        if (isUncertain) SubmitAnswer.Unknown(reason) else rejected(reason)
 
-    private fun rejected(reason: String) = SubmitAnswer.Rejected(reason, STORE_RETRY_MS, isOverload = false)
+    private fun rejected(reason: String) = SubmitAnswer.Rejected(reason, RETRY_AFTER_MS, isOverload = false)
 }
--- a/leadership/src/main/kotlin/dev/bronzeshore/leadership/LeaderElection.kt
+++ b/leadership/src/main/kotlin/dev/bronzeshore/leadership/LeaderElection.kt
@@ -1,10 +1,10 @@
 /**
- * Follows who leads the cluster, takes over when the leader is lost, and renews the own term.
+ * Leader election: tracks the leader of the cluster, takes over when it is lost, and renews the term of this process.
  *
- * A takeover writes the term row under the condition that neither term nor sign of life has changed, so that at most
- * one process wins. All later writes of a leader require the version of its term row: a former leader changes nothing.
- * A leader that the store does not answer keeps its term, because no other process can take over through that store
- * without raising the fence at the workers first.
+ * A takeover writes the term row on condition that neither the term row nor the heartbeat row has changed, so that at
+ * most one process wins. All later writes of a leader are conditional on the version of its term row, so that a former
+ * leader cannot change anything. A leader that gets no response from the store keeps its term, because no other
+ * process can take over through that store without first raising the fencing token at the workers.
  */
 package dev.bronzeshore.leadership
 
@@ -23,149 +23,149 @@
 import kotlinx.coroutines.delay
 import kotlin.random.Random
 
-/** Period of the leader's sign of life; a third of the time after which it counts as lost. */
-internal const val BEAT_EVERY_MS = 450L
+/** Period of the leader's heartbeats: a third of the timeout after which it counts as lost. */
+internal const val HEARTBEAT_PERIOD_MS = 450L
 
-/** Longest wait of a change feed; a connection that has fallen silent is noticed this much later. */
-private const val FEED_WAIT_MS = 1_000L
-private const val RETRY_MS = 150L
+/** Longest wait for a change feed; the loss of a silent connection is detected this much later. */
+private const val CHANGE_FEED_WAIT_MS = 1_000L
+private const val RETRY_DELAY_MS = 150L
 
-/** Candidates spread over this time, so that most of them see that another one has won. */
-private const val CANDIDATE_SPREAD_MS = 40L
+/** Random delay of candidates, so that most of them see that another one has won. */
+private const val TAKEOVER_JITTER_MS = 40L
 
-/** What happens when leadership passes. */
+/** Called when this process gains or loses leadership, or cannot renew its term. */
 public class LeadershipCallbacks(
     public val onGained: suspend (LeaderTerm) -> Unit,
     public val onLost: suspend (LeaderTerm) -> Unit,
-    /** The store did not take a renewal; another process may be served and could lead instead. */
+    /** The store did not confirm a renewal; it may be available to another process, which could lead instead. */
     public val onRenewalFailed: suspend (LeaderTerm) -> Unit,
 )
 
-/** Runs on the control thread. [candidateDelayMs] is the time for which a takeover is left to stronger processes. */
+/** Runs on the control thread. [candidateDelayMs] is how long this process leaves a takeover to stronger ones. */
 public class LeaderElection(
     private val store: ClusterStore,
     private val own: NodeRow,
     private val clock: ClockMs,
     private val candidateDelayMs: () -> Long,
-    private val events: LeadershipCallbacks,
+    private val callbacks: LeadershipCallbacks,
 ) {
     private val log = EventLog("leadership")
-    private val view = LeaderTracker(own.processName, own.bootId, clock)
-    private var held: LeaderTerm? = null
-    private var beatNumber = 0L
-    private var beatSentAtMs = Long.MIN_VALUE / 2
-    private var isStopping = false
+    private val tracker = LeaderTracker(own.processName, own.bootId, clock)
+    private var heldTerm: LeaderTerm? = null
+    private var heartbeatNumber = 0L
+    private var heartbeatSentAtMs = Long.MIN_VALUE / 2
+    private var isWithdrawn = false
     private var lastEndedTerm = 0L
 
     /** The term held by this process, or null. */
-    public val currentTerm: LeaderTerm? get() = held
+    public val currentTerm: LeaderTerm? get() = heldTerm
 
-    /** Time of the steady clock of the last confirmed renewal. */
+    /** Monotonic time at which the last confirmed renewal was sent. */
     public var renewedAtMs: Long = 0
         private set
 
-    /** The leader that this process knows of, which may have changed since; null before the first one. */
+    /** The last leader that this process observed, which may have changed since; null before the first one. */
     public val knownLeader: KnownLeader?
-        get() = view.term?.let { KnownLeader(it.term, it.processName, it.peerAddress) }
+        get() = tracker.term?.let { KnownLeader(it.term, it.processName, it.peerAddress) }
 
-    /** The sign of life to write along with other rows of the leader, or null when it is not due. */
+    /** The heartbeat to write along with other rows of the leader, or null if none is due. */
     public fun dueHeartbeat(): RowWrite? {
-        val term = held ?: return null
-        if (clock() - beatSentAtMs < BEAT_EVERY_MS) return null
-        beatSentAtMs = clock()
-        return beatWrite(term, isReleased = false)
+        val term = heldTerm ?: return null
+        if (clock() - heartbeatSentAtMs < HEARTBEAT_PERIOD_MS) return null
+        heartbeatSentAtMs = clock()
+        return heartbeatWrite(term, isReleased = false)
     }
 
-    /** A sign of life was stored by a call that was sent at [sentAtMs]. */
+    /** Records that a heartbeat was stored by a call sent at [sentAtMs]. */
     public fun recordRenewal(sentAtMs: Long) {
         renewedAtMs = maxOf(renewedAtMs, sentAtMs)
     }
 
     /**
-     * Takes over although the leader has not fallen silent: it is known to be dead, or it has asked for it.
+     * Takes over before the leader times out, because it is known to be dead or has asked for a handover.
      *
-     * Returns true if this process leads a newer term afterwards.
+     * Returns true if this process leads a term newer than [term] afterwards.
      */
     public suspend fun takeOverFrom(term: Long, reason: String, isOnlyCandidate: Boolean): Boolean {
-        if (held != null || isStopping) return leadsAfter(term)
+        if (heldTerm != null || isWithdrawn) return leadsNewerThan(term)
         log.event("takeover_wanted", "term" to term, "reason" to reason)
-        if (!isOnlyCandidate) delay(spreadMs())
-        takeOver { view.term?.term == term }
-        return leadsAfter(term)
+        if (!isOnlyCandidate) delay(takeoverDelayMs())
+        takeOver { tracker.term?.term == term }
+        return leadsNewerThan(term)
     }
 
-    /** A process that was cut off may still hold a term before [term], which is no takeover. */
-    private fun leadsAfter(term: Long): Boolean = held?.let { it.term > term } ?: false
+    /** A process that was partitioned may still hold a term older than [term], which does not count as a takeover. */
+    private fun leadsNewerThan(term: Long): Boolean = heldTerm?.let { it.term > term } ?: false
 
-    /** Follows the leader until cancelled. */
+    /** Tracks the leader, takes over and renews until cancelled. */
     public suspend fun run() {
-        while (!readAll()) delay(RETRY_MS)
+        while (!readLeaderRows()) delay(RETRY_DELAY_MS)
         while (true) {
-            if (held == null) follow() else renew()
+            if (heldTerm == null) followLeader() else renew()
         }
     }
 
-    /** From now on this process does not take over. */
+    /** Prevents further takeovers by this process, which is about to stop. */
     public fun withdraw() {
-        isStopping = true
+        isWithdrawn = true
     }
 
-    /** Gives up the term so that another process takes over at once. */
+    /** Gives up the term so that another process can take over without waiting for the timeout. */
     public suspend fun release() {
-        val term = held ?: return
-        val outcome = store.transact(beatTransaction(term, isReleased = true))
+        val term = heldTerm ?: return
+        val outcome = store.transact(heartbeatTransaction(term, isReleased = true))
         log.event("released", "term" to term.term, "outcome" to outcome)
         stepDown(term)
     }
 
     private var feedVersion = 0L
 
-    private suspend fun readAll(): Boolean {
+    private suspend fun readLeaderRows(): Boolean {
         val page = store.readPage(RowRangeQuery(Tables.LEADER, Tables.LEADER_PART)).getOrNull() ?: return false
-        view.observe(page.rows)
-        view.storeAnswered()
+        tracker.observe(page.rows)
+        tracker.onStoreResponse()
         feedVersion = page.version
         return true
     }
 
-    private suspend fun follow() {
-        leadUnansweredTakeover()
-        if (held != null) return
-        if (view.mayTakeOver() && !isStopping) {
-            delay(spreadMs())
-            return takeOver { view.mayTakeOver() }
+    private suspend fun followLeader() {
+        startUnconfirmedTerm()
+        if (heldTerm != null) return
+        if (tracker.canTakeOver() && !isWithdrawn) {
+            delay(takeoverDelayMs())
+            return takeOver { tracker.canTakeOver() }
         }
-        store.changes(Tables.LEADER, feedVersion, view.silenceLeftMs(FEED_WAIT_MS)).fold(
+        store.changes(Tables.LEADER, feedVersion, tracker.timeToTimeoutMs(CHANGE_FEED_WAIT_MS)).fold(
             ifLeft = { failure ->
-                view.storeFailed()
-                if (failure is ReadFailure.HistoryGone) readAll()
-                delay(RETRY_MS)
+                tracker.onStoreFailure()
+                if (failure is ReadFailure.HistoryGone) readLeaderRows()
+                delay(RETRY_DELAY_MS)
             },
             ifRight = { page ->
-                view.observe(page.rows)
-                view.storeAnswered()
+                tracker.observe(page.rows)
+                tracker.onStoreResponse()
                 feedVersion = maxOf(feedVersion, page.version)
             },
         )
     }
 
-    private val isCandidate: Boolean get() = held == null && !isStopping
+    private val isCandidate: Boolean get() = heldTerm == null && !isWithdrawn
 
-    private fun spreadMs() = candidateDelayMs() + Random.nextLong(CANDIDATE_SPREAD_MS)
+    private fun takeoverDelayMs() = candidateDelayMs() + Random.nextLong(TAKEOVER_JITTER_MS)
 
-    private suspend fun takeOver(isWanted: () -> Boolean) {
-        if (!isCandidate || !readAll()) return
-        if (!isCandidate || !isWanted()) return
-        val term = TermRow((view.term?.term ?: 0) + 1, own.processName, own.bootId, own.peerAddress)
+    private suspend fun takeOver(isStillNeeded: () -> Boolean) {
+        if (!isCandidate || !readLeaderRows()) return
+        if (!isCandidate || !isStillNeeded()) return
+        val term = TermRow((tracker.term?.term ?: 0) + 1, own.processName, own.bootId, own.peerAddress)
         val outcome = store.transact(
             StoreTransaction(
                 conditions = listOf(
-                    RowCondition(Tables.TERM_ROW, view.termVersion),
-                    RowCondition(Tables.BEAT_ROW, view.beatVersion),
+                    RowCondition(Tables.TERM_ROW, tracker.termVersion),
+                    RowCondition(Tables.BEAT_ROW, tracker.heartbeatVersion),
                 ),
                 writes = listOf(
                     RowWrite(Tables.TERM_ROW, encodeRow(TermRow.serializer(), term)),
-                    RowWrite(Tables.BEAT_ROW, encodeRow(BeatRow.serializer(), BeatRow(term.term, 0))),
+                    RowWrite(Tables.BEAT_ROW, encodeRow(HeartbeatRow.serializer(), HeartbeatRow(term.term, 0))),
                 ),
             ),
         )
@@ -173,71 +173,71 @@
             "takeover",
             "term" to term.term,
             "outcome" to outcome::class.simpleName,
-            "former" to view.term?.bootId,
+            "former" to tracker.term?.bootId,
         )
         when (outcome) {
-            is StoreOutcome.Applied -> lead(LeaderTerm(term.term, outcome.version))
-            // If the transaction takes effect later, the term row shows it.
-            is StoreOutcome.Unknown -> if (readAll()) leadUnansweredTakeover()
-            else -> delay(RETRY_MS)
+            is StoreOutcome.Applied -> startTerm(LeaderTerm(term.term, outcome.version))
+            // The transaction may still take effect; the change feed then delivers the term row.
+            is StoreOutcome.Unknown -> if (readLeaderRows()) startUnconfirmedTerm()
+            else -> delay(RETRY_DELAY_MS)
         }
     }
 
-    /** The term row may name this process although the takeover got no answer. */
-    private suspend fun leadUnansweredTakeover() {
-        val term = view.term ?: return
+    /** Starts the term if the term row names this process after a takeover without a response. */
+    private suspend fun startUnconfirmedTerm() {
+        val term = tracker.term ?: return
         if (isCandidate && term.bootId == own.bootId && term.term > lastEndedTerm) {
-            lead(LeaderTerm(term.term, view.termVersion))
+            startTerm(LeaderTerm(term.term, tracker.termVersion))
         }
     }
 
-    private suspend fun lead(term: LeaderTerm) {
-        if (held == term) return
-        held = term
-        beatNumber = 0
+    private suspend fun startTerm(term: LeaderTerm) {
+        if (heldTerm == term) return
+        heldTerm = term
+        heartbeatNumber = 0
         renewedAtMs = clock()
         log.event("gained", "term" to term.term, "version" to term.termRowVersion)
-        events.onGained(term)
+        callbacks.onGained(term)
     }
 
     private suspend fun renew() {
-        delay(BEAT_EVERY_MS / 2)
-        if (clock() - beatSentAtMs >= BEAT_EVERY_MS) beat()
+        delay(HEARTBEAT_PERIOD_MS / 2)
+        if (clock() - heartbeatSentAtMs >= HEARTBEAT_PERIOD_MS) sendHeartbeat()
     }
 
-    private suspend fun beat() {
-        val term = held ?: return
+    private suspend fun sendHeartbeat() {
+        val term = heldTerm ?: return
         val sentAtMs = clock()
-        beatSentAtMs = sentAtMs
-        when (val outcome = store.transact(beatTransaction(term, isReleased = false))) {
+        heartbeatSentAtMs = sentAtMs
+        when (val outcome = store.transact(heartbeatTransaction(term, isReleased = false))) {
             is StoreOutcome.Applied -> recordRenewal(sentAtMs)
 
             is StoreOutcome.Conflict -> stepDown(term)
 
             else -> {
                 log.event("renewal_failed", "term" to term.term, "outcome" to outcome)
-                events.onRenewalFailed(term)
+                callbacks.onRenewalFailed(term)
             }
         }
     }
 
-    private fun beatTransaction(term: LeaderTerm, isReleased: Boolean): StoreTransaction = StoreTransaction(
+    private fun heartbeatTransaction(term: LeaderTerm, isReleased: Boolean): StoreTransaction = StoreTransaction(
         conditions = listOf(RowCondition(Tables.TERM_ROW, term.termRowVersion)),
-        writes = listOf(beatWrite(term, isReleased)),
+        writes = listOf(heartbeatWrite(term, isReleased)),
     )
 
-    private fun beatWrite(term: LeaderTerm, isReleased: Boolean): RowWrite {
-        val row = BeatRow(term.term, ++beatNumber, isReleased)
-        return RowWrite(Tables.BEAT_ROW, encodeRow(BeatRow.serializer(), row))
+    private fun heartbeatWrite(term: LeaderTerm, isReleased: Boolean): RowWrite {
+        val row = HeartbeatRow(term.term, ++heartbeatNumber, isReleased)
+        return RowWrite(Tables.BEAT_ROW, encodeRow(HeartbeatRow.serializer(), row))
     }
 
-    /** Ends the own term; called as well when a worker's fence or another process has shown a newer one. */
+    /** Ends [term]; also called when a worker's fencing token or another process has shown a newer term. */
     public suspend fun stepDown(term: LeaderTerm) {
-        if (held != term) return
-        held = null
+        if (heldTerm != term) return
+        heldTerm = null
         lastEndedTerm = maxOf(lastEndedTerm, term.term)
         log.event("lost", "term" to term.term)
-        events.onLost(term)
-        while (!readAll()) delay(RETRY_MS)
+        callbacks.onLost(term)
+        while (!readLeaderRows()) delay(RETRY_DELAY_MS)
     }
 }
--- a/leadership/src/main/kotlin/dev/bronzeshore/leadership/LeaderTracker.kt
+++ b/leadership/src/main/kotlin/dev/bronzeshore/leadership/LeaderTracker.kt
@@ -1,7 +1,7 @@
 /**
- * Decides when a process may try to take over leadership.
+ * Failure detector for the leader: decides when a process may try to take over.
  *
- * Not thread-safe. Times are of the steady clock of this process.
+ * Not thread-safe. Times are of the monotonic clock of this process.
  */
 package dev.bronzeshore.leadership
 
@@ -12,11 +12,11 @@
 import dev.bronzeshore.core.cluster.Tables
 import dev.bronzeshore.core.cluster.decodeRow
 
-/** A leader renews three times within this time; shorter times mistake a pause of the runtime for a lost leader. */
+/** A leader renews three times within this time; a shorter timeout mistakes a pause of the JVM for a lost leader. */
 internal const val LEADER_TIMEOUT_MS = 1_400L
 
-/** In a slow spell of the store the signs of life come later: as many of them must be missing. */
-private const val SILENT_BEATS = 2
+/** In a slow period of the store, heartbeats arrive at longer intervals; this many of them must be missing. */
+private const val MISSED_HEARTBEATS = 2
 
 internal class LeaderTracker(private val processName: String, private val bootId: String, private val clock: ClockMs) {
     private val log = PartLog("leadership")
@@ -24,21 +24,21 @@
         private set
     var termVersion: Long = 0
         private set
-    var beatVersion: Long = 0
+    var heartbeatVersion: Long = 0
         private set
-    private var beat: BeatRow? = null
-    private val beatGap = LatencyEstimate()
-    private var beatSeenAtMs: Long? = null
+    private var heartbeat: HeartbeatRow? = null
+    private val heartbeatInterval = LatencyEstimate()
+    private var heartbeatSeenAtMs: Long? = null
 
-    /** Start of the time for which the leader has shown no sign of life while the store answered; null if unknown. */
+    /** Start of the period without a heartbeat in which the store has responded; null if there is none. */
     private var silentSinceMs: Long? = null
 
-    /** Takes in rows that were read or changed. */
+    /** Processes rows that were read from the store or came with its change feed. */
     fun observe(rows: List<StoredRow>) {
         for (row in rows) {
             when (row.id) {
                 Tables.TERM_ROW -> observeTerm(row)
-                Tables.BEAT_ROW -> observeBeat(row)
+                Tables.BEAT_ROW -> observeHeartbeat(row)
             }
         }
     }
@@ -51,45 +51,45 @@
         silentSinceMs = null
     }
 
-    private fun observeBeat(row: StoredRow) {
+    private fun observeHeartbeat(row: StoredRow) {
         val value = row.value
-        if (value == null || row.version <= beatVersion) return
-        beat = decode(row) { decodeRow(BeatRow.serializer(), value) } ?: return
-        beatVersion = row.version
-        beatSeenAtMs?.let { beatGap.observe(clock() - it) }
-        beatSeenAtMs = clock()
+        if (value == null || row.version <= heartbeatVersion) return
+        heartbeat = decode(row) { decodeRow(HeartbeatRow.serializer(), value) } ?: return
+        heartbeatVersion = row.version
+        heartbeatSeenAtMs?.let { heartbeatInterval.observe(clock() - it) }
+        heartbeatSeenAtMs = clock()
         silentSinceMs = null
     }
 
-    /** The store has answered with everything that it holds. */
-    fun storeAnswered() {
+    /** Starts the period without a heartbeat if none is running; call after [observe] with the rows of a response. */
+    fun onStoreResponse() {
         if (silentSinceMs == null) silentSinceMs = clock()
     }
 
-    /** Silence counts only while the store answers: without it the leader cannot show a sign of life either. */
-    fun storeFailed() {
+    /** Ends the period without a heartbeat: while the store does not respond, the leader cannot store one either. */
+    fun onStoreFailure() {
         silentSinceMs = null
     }
 
-    /** True if nobody leads, the leader has released its term or is lost, or it was an earlier life of this process. */
-    fun mayTakeOver(): Boolean {
+    /** True if there is no leader, it has released its term, has timed out, or was an earlier boot of this process. */
+    fun canTakeOver(): Boolean {
         val leader = term ?: return true
         if (leader.processName == processName && leader.bootId != bootId) return true
-        if (beat?.let { it.isReleased && it.term == leader.term } == true) return true
-        return silenceLeftMs() == 0L
+        if (heartbeat?.let { it.isReleased && it.term == leader.term } == true) return true
+        return timeToTimeoutMs() == 0L
     }
 
-    /** Time until the leader counts as lost if it stays silent, at most [mostMs]. */
-    fun silenceLeftMs(mostMs: Long = Long.MAX_VALUE): Long {
-        val since = silentSinceMs ?: return mostMs
-        val timeoutMs = maxOf(LEADER_TIMEOUT_MS, SILENT_BEATS * beatGap.typicalMs)
-        return (since + timeoutMs - clock()).coerceIn(0, mostMs)
+    /** Time until the leader times out if no heartbeat arrives, at most [maxMs]. */
+    fun timeToTimeoutMs(maxMs: Long = Long.MAX_VALUE): Long {
+        val since = silentSinceMs ?: return maxMs
+        val timeoutMs = maxOf(LEADER_TIMEOUT_MS, MISSED_HEARTBEATS * heartbeatInterval.typicalMs)
+        return (since + timeoutMs - clock()).coerceIn(0, maxMs)
     }
 
     private fun <T> decode(row: StoredRow, parse: () -> T): T? = try {
         parse()
     } catch (failure: IllegalArgumentException) {
-        log.warn { "Row ${row.id} is malformed and is passed over: ${failure.message}" }
+        log.warn { "Ignored malformed row ${row.id}: ${failure.message}" }
         null
     }
 }
--- a/leadership/src/test/kotlin/dev/bronzeshore/leadership/CandidateOrderTest.kt
+++ b/leadership/src/test/kotlin/dev/bronzeshore/leadership/CandidateOrderTest.kt
@@ -1,4 +1,4 @@
-/** Guards against leaders on machines that cannot carry the work while stronger ones are at hand. */
+/** Guards against a leader on a machine that is too weak for the work while stronger ones are available. */
 package dev.bronzeshore.leadership
 
 import dev.bronzeshore.core.cluster.NodeRow
@@ -18,13 +18,13 @@
 
     @ParameterizedTest
     @MethodSource("cases")
-    fun `weaker candidates wait for stronger ones`(case: Case) {
+    fun `weaker candidates delay their takeover in favour of stronger ones`(case: Case) {
         val peers = case.peers.mapIndexed { number, capacity -> node("p$number", capacity) }
         assertEquals(case.delayMs, candidateDelayMs(node("own", case.own), peers))
     }
 
     @Test
-    fun `a narrow link counts as few processors`() {
+    fun `a slow link counts as few processors`() {
         assertTrue(leaderCapacity(processors = 0.9, linkMbps = 10.0) < leaderCapacity(0.75, linkMbps = 200.0))
         assertEquals(1.5, leaderCapacity(processors = 1.5, linkMbps = 200.0))
     }
@@ -36,7 +36,7 @@
     }
 
     @Test
-    fun `a handover asks few of many processes, not only the strongest`() {
+    fun `a handover asks a few of many processes, including some that are not the strongest`() {
         val peers = List(40) { node("p$it", if (it < 10) 1.5 else 0.27) }
         val asked = handoverOrder(peers, Random(SEED))
         assertEquals(List(4) { 1.5 }, asked.take(4).map { it.leaderCapacity })
@@ -49,10 +49,10 @@
         @JvmStatic
         fun cases(): List<Case> = listOf(
             Case("the strongest does not wait", 1.5, listOf(0.27, 0.5, 1.5), 0),
-            Case("one is stronger", 0.5, listOf(0.27, 0.5, 1.5), 25),
-            Case("many are stronger", 0.27, List(40) { 1.0 }, 400),
-            Case("a large machine that knows no others", 2.0, emptyList(), 0),
-            Case("a small machine that knows no others", 0.4, emptyList(), 240),
+            Case("one peer is stronger", 0.5, listOf(0.27, 0.5, 1.5), 25),
+            Case("many peers are stronger", 0.27, List(40) { 1.0 }, 400),
+            Case("a large machine that knows no peers", 2.0, emptyList(), 0),
+            Case("a small machine that knows no peers", 0.4, emptyList(), 240),
         )
     }
 }
