--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/AdviceDesk.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/AdviceDesk.kt
@@ -12,7 +12,7 @@
 import kotlinx.coroutines.launch
 
 /** A process that can call the advice service. */
-public class AdviceCaller(
+public class AdviceClient(
     public val name: String,
     /** Null when no answer came. */
     public val ask: suspend (StepName, List<String>) -> List<AdviceTicket>?,
@@ -34,7 +34,7 @@
 
 internal class AdviceDesk(
     private val context: TermContext,
-    private val callers: () -> List<AdviceCaller>,
+    private val callers: () -> List<AdviceClient>,
     private val eligible: (TrackedStep) -> List<TrackedWorker>,
 ) {
     private val busy = HashSet<String>()
@@ -71,7 +71,7 @@
             .map { it.life }
     }
 
-    private fun send(caller: AdviceCaller, step: TrackedStep, workers: List<WorkerLife>, isLong: Boolean) {
+    private fun send(caller: AdviceClient, step: TrackedStep, workers: List<WorkerLife>, isLong: Boolean) {
         busy += caller.name
         if (isLong) busyWithLong += caller.name
         step.advice.isInFlight = true
@@ -88,7 +88,7 @@
         }
     }
 
-    private fun take(caller: AdviceCaller, step: TrackedStep, workers: List<WorkerLife>, answer: List<AdviceTicket>?) {
+    private fun take(caller: AdviceClient, step: TrackedStep, workers: List<WorkerLife>, answer: List<AdviceTicket>?) {
         val now = context.clock()
         if (answer == null) {
             step.advice.notBeforeMs = now + RETRY_PAUSE_MS
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/JobLifecycle.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/JobLifecycle.kt
@@ -17,7 +17,7 @@
 
     /** Takes in an accepted job; repeated calls have no effect. */
     fun accept(accepted: AcceptedJob, version: Long) {
-        val ageMs = (context.timeOfDay() - accepted.acceptedAtMs).coerceIn(0, MAX_AGE_MS)
+        val ageMs = (context.wallClock() - accepted.acceptedAtMs).coerceIn(0, MAX_AGE_MS)
         val job = book.add(accepted, context.clock() - ageMs) ?: return
         context.log.event(
             "job_known",
@@ -141,7 +141,7 @@
 
     private fun close(job: TrackedJob, phase: JobPhase, reason: String) {
         if (!job.isOpen) return
-        book.close(job, phase, context.timeOfDay())
+        book.close(job, phase, context.wallClock())
         val durationMs = context.clock() - job.acceptedAtMs
         context.log.event(
             "job_ended",
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/LeaderTermRunner.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/LeaderTermRunner.kt
@@ -44,14 +44,14 @@
     public val calls: WorkerCalls,
     public val bounds: ClusterBounds,
     public val clock: ClockMs,
-    public val timeOfDay: ClockMs,
+    public val wallClock: ClockMs,
     public val metrics: SchedulerMetrics,
     public val renewal: TermRenewal,
-    public val adviceCallers: () -> List<AdviceCaller>,
+    public val adviceClients: () -> List<AdviceClient>,
     public val workerTable: String,
     public val decodeWorker: (StoredRow) -> WorkerChange,
     /** Ends the term: a fence of a worker or the term row in the store has shown that another process leads. */
-    public val onDeposed: suspend () -> Unit,
+    public val onLeadershipLost: suspend () -> Unit,
 )
 
 /** One term; [run] returns only by cancellation. */
@@ -75,7 +75,7 @@
         val recovery = Recovery(context, dependencies, lifecycle, registry, journal)
         val planner = Planner(context, recovery::mayStart)
         val starter = TaskStarter(context, stopper)
-        val advice = AdviceDesk(context, dependencies.adviceCallers) { planner.eligible(it, context.clock()) }
+        val advice = AdviceDesk(context, dependencies.adviceClients) { planner.eligible(it, context.clock()) }
         val wakePlanner = Channel<Unit>(Channel.CONFLATED)
         context.wakePlanner = { wakePlanner.trySend(Unit) }
         context.wakeJournal = journal::wake
@@ -96,7 +96,7 @@
     }
 
     /** Takes in a job that a process has stored and tells of before the change feed does. */
-    public fun takeAnnounced(job: AcceptedJob): Unit? = intake?.accept(job, version = 0)
+    public fun acceptAnnounced(job: AcceptedJob): Unit? = intake?.accept(job, version = 0)
 
     /** The state that callers may see of a job, or null when this leader does not know it. */
     public fun phaseOf(jobId: String): JobPhase? {
@@ -110,7 +110,7 @@
 
     private fun newContext(scope: CoroutineScope) = TermContext(
         term, termRowVersion, dependencies.store, dependencies.calls, dependencies.bounds, dependencies.clock,
-        dependencies.timeOfDay, scope, dependencies.metrics, dependencies.renewal, dependencies.onDeposed,
+        dependencies.wallClock, scope, dependencies.metrics, dependencies.renewal, dependencies.onLeadershipLost,
     )
 
     private suspend fun followIntake(lifecycle: JobLifecycle, fromVersion: Long) {
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/Planner.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/Planner.kt
@@ -58,13 +58,13 @@
     }
 
     private fun rankedSteps(now: Long): List<RankedStep> {
-        val timeOfDay = context.timeOfDay()
+        val wallClock = context.wallClock()
         val ranked = ArrayList<RankedStep>()
         for (job in context.book.openJobs) {
             if (!mayStart(job)) continue
             for (step in job.steps) {
                 val delayMs = step.dueAtMs?.let { (it - job.accepted.acceptedAtMs).coerceAtLeast(0) } ?: 0
-                val isDue = step.dueAtMs?.let { timeOfDay >= it } ?: true
+                val isDue = step.dueAtMs?.let { wallClock >= it } ?: true
                 if (isDue && step.isUnblocked && step.pendingTasks.isNotEmpty()) ranked += rank(step, now, delayMs)
             }
         }
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/ProgressJournal.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/ProgressJournal.kt
@@ -107,7 +107,7 @@
     /** Either another process leads, or an earlier write without an answer has taken effect. */
     private suspend fun resolve(conflict: StoreOutcome.Conflict) {
         val isLeader = conflict.rows.any { it.id == Tables.TERM_ROW && it.version == context.termRowVersion }
-        if (!isLeader) return context.onDeposed()
+        if (!isLeader) return context.onLeadershipLost()
         journalRowVersion = conflict.rows.firstOrNull { it.id == Tables.JOURNAL_ROW }?.version ?: 0
     }
 
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/Recovery.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/Recovery.kt
@@ -49,7 +49,7 @@
         for (row in progress.rows) {
             val stored = row.value?.let { decodeRow(JobProgress.serializer(), it) } ?: continue
             if (stored.phase.isEnded) {
-                context.book.noteEnded(row.id.key, stored.endedAtMs ?: context.timeOfDay())
+                context.book.noteEnded(row.id.key, stored.endedAtMs ?: context.wallClock())
             } else {
                 context.book.noteProgress(row.id.key, stored)
             }
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/RowCollector.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/RowCollector.kt
@@ -43,7 +43,7 @@
 
     /** Deletes the rows of the jobs whose time is over. */
     suspend fun collect() {
-        val before = context.timeOfDay() - context.bounds.statusRetentionMs - RETENTION_MARGIN_MS
+        val before = context.wallClock() - context.bounds.statusRetentionMs - RETENTION_MARGIN_MS
         val expired = context.book.endedBefore(before).take(MAX_JOBS_AT_A_TIME)
         val collected = expired.groupBy { Tables.intakePartOf(it) }.values.flatMap { deleteAccepted(it) }
         if (collected.isEmpty() || !deleteProgress(collected)) return
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/SchedulerMetrics.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/SchedulerMetrics.kt
@@ -5,7 +5,7 @@
 public class SchedulerMetrics(
     public val start: (result: String) -> Unit = {},
     public val end: (kind: String) -> Unit = {},
-    public val look: () -> Unit = {},
+    public val workerPoll: () -> Unit = {},
     public val journalWrite: (outcome: String, durationMs: Long) -> Unit = { _, _ -> },
     /** Time from acceptance to the end of a job, by queue and phase. */
     public val jobEnded: (queue: String, phase: String, durationMs: Long) -> Unit = { _, _, _ -> },
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/TaskStarter.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/TaskStarter.kt
@@ -104,7 +104,7 @@
     }
 
     private suspend fun react(placement: Placement, result: StartResult) = when (result) {
-        StartResult.FENCED -> context.onDeposed()
+        StartResult.FENCED -> context.onLeadershipLost()
         StartResult.BAD_TICKET -> placement.task.step.advice.expire(placement.worker.life)
         StartResult.UNHEALTHY, StartResult.NO_ROOM -> pause(placement.worker)
         StartResult.NOT_SENT, StartResult.OTHER_WORKER -> suspect(placement.worker)
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/TermContext.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/TermContext.kt
@@ -27,12 +27,12 @@
     /** Steady clock. */
     val clock: ClockMs,
     /** Time of day, for schedules and stored times. */
-    val timeOfDay: ClockMs,
+    val wallClock: ClockMs,
     val scope: CoroutineScope,
     val metrics: SchedulerMetrics,
     val renewal: TermRenewal,
     /** A fence of a worker or the term row in the store has shown that another process leads. */
-    val onDeposed: suspend () -> Unit,
+    val onLeadershipLost: suspend () -> Unit,
 ) {
     val log = EventLog("scheduler")
     val fleet = Fleet()
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/WorkerSession.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/WorkerSession.kt
@@ -38,7 +38,7 @@
     /** Looks at once, beside the look that may be waiting for an end; an order to the worker got no answer. */
     suspend fun probe() {
         val requestedAtMs = context.clock()
-        context.metrics.look()
+        context.metrics.workerPoll()
         when (val answer = context.calls.hold(worker.entry, orderAt(requestedAtMs).copy(waitMs = 0))) {
             is HoldAnswer.Report -> if (answer.startedAtMs == worker.life.startedAtMs && jobs.knowsJobsOf(answer)) {
                 reports.handle(worker, answer, requestedAtMs)
@@ -54,13 +54,13 @@
     suspend fun run() {
         while (!worker.isGone) {
             val requestedAtMs = context.clock()
-            context.metrics.look()
+            context.metrics.workerPoll()
             when (val answer = context.calls.hold(worker.entry, orderAt(requestedAtMs))) {
                 is HoldAnswer.Report -> takeReport(answer, requestedAtMs)
 
                 is HoldAnswer.Fenced -> {
                     context.log.event("fenced", "worker" to worker.id, "term" to context.term)
-                    context.onDeposed()
+                    context.onLeadershipLost()
                     delay(RETRY_MS)
                 }
 
--- a/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterMetrics.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterMetrics.kt
@@ -34,7 +34,7 @@
     fun forScheduler() = SchedulerMetrics(
         start = { starts.labelValues(it).inc() },
         end = { ends.labelValues(it).inc() },
-        look = { looks.inc() },
+        workerPoll = { looks.inc() },
         journalWrite = { outcome, ms -> journal.labelValues(outcome).observe(ms / MS_PER_SECOND) },
         jobEnded = { queue, phase, ms -> jobs.labelValues(queue, phase).observe(ms / MS_PER_SECOND) },
         advice = { advice.labelValues(it).inc() },
--- a/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterProcess.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterProcess.kt
@@ -24,7 +24,7 @@
 import dev.bronzeshore.platform.cluster.CallersPortContext
 import dev.bronzeshore.platform.cluster.PlatformLink
 import dev.bronzeshore.platform.cluster.startCallersPort
-import dev.bronzeshore.scheduler.AdviceCaller
+import dev.bronzeshore.scheduler.AdviceClient
 import dev.bronzeshore.scheduler.LeaderDependencies
 import dev.bronzeshore.scheduler.LeaderTermRunner
 import dev.bronzeshore.scheduler.TermRenewal
@@ -68,7 +68,7 @@
     private val scope: CoroutineScope,
 ) {
     private val log = EventLog("process")
-    private val timeOfDay: ClockMs = System::currentTimeMillis
+    private val wallClock: ClockMs = System::currentTimeMillis
     private val bootId = UUID.randomUUID().toString()
     private val selector = SelectorManager(traffic)
     private val platform = PlatformLink(selector, traffic, settings.storeAddress, settings.adviceAddress)
@@ -119,12 +119,12 @@
                 config = { config.current },
                 isReady = { config.current != null && !isStopping },
                 isStopping = { isStopping },
-                clock = timeOfDay,
+                clock = wallClock,
                 metrics = metrics::scrape,
                 countAnswer = metrics::countAnswer,
             ),
         )
-        PeerServer(selector, timeOfDay, handlers()).start(settings.peers.host, settings.peers.port, scope)
+        PeerServer(selector, wallClock, handlers()).start(settings.peers.host, settings.peers.port, scope)
         scope.launch { directory.run() }
         scope.launch { config.run() }
         scope.launch { election.run() }
@@ -164,7 +164,7 @@
         if (!isServed) passOn(term)
     }
 
-    private fun newPeerCaller() = PeerCaller(PeerClient(selector, timeOfDay, scope), timeOfDay)
+    private fun newPeerCaller() = PeerCaller(PeerClient(selector, wallClock, scope), wallClock)
 
     private suspend fun startTerm(won: LeaderTerm) {
         endTerm()
@@ -184,20 +184,20 @@
         calls = platform.workers,
         bounds = settings.bounds,
         clock = SteadyClock,
-        timeOfDay = timeOfDay,
+        wallClock = wallClock,
         metrics = metrics.forScheduler(),
         renewal = TermRenewal(election::dueBeat, election::renewed),
-        adviceCallers = ::adviceCallers,
+        adviceClients = ::adviceClients,
         workerTable = PlatformLink.WORKER_TABLE,
         decodeWorker = PlatformLink::workerIn,
-        onDeposed = { scope.launch(control) { election.stepDown(won) } },
+        onLeadershipLost = { scope.launch(control) { election.stepDown(won) } },
     )
 
-    private fun adviceCallers(): List<AdviceCaller> {
+    private fun adviceClients(): List<AdviceClient> {
         val advice = platform.advice ?: return emptyList()
-        return listOf(AdviceCaller(settings.processName) { step, workers -> advice(step, workers) }) +
+        return listOf(AdviceClient(settings.processName) { step, workers -> advice(step, workers) }) +
             directory.peers.map { peer ->
-                AdviceCaller(peer.processName) { step, workers ->
+                AdviceClient(peer.processName) { step, workers ->
                     val request = AdviceRequest(step.jobId, step.occurrence, step.step, workers)
                     peerCaller.call(peer, ADVICE_CALL, request, ADVICE_TIMEOUT_MS)?.toTickets()
                 }
@@ -215,7 +215,7 @@
             }
             HandoverReply(isTaken).right()
         },
-        handlerOf(ANNOUNCE_CALL) { Announcement(onControl { runner?.takeAnnounced(it) } != null).right() },
+        handlerOf(ANNOUNCE_CALL) { Announcement(onControl { runner?.acceptAnnounced(it) } != null).right() },
         handlerOf(WATCH_CALL) { request ->
             delay(request.holdMs.coerceIn(0, WATCH_HOLD_MS))
             WatchReply(election.currentTerm != null).right()
@@ -228,7 +228,7 @@
     private suspend fun submit(job: AcceptedJob): SubmitAnswer {
         val answer = desk.submit(job)
         if (answer is SubmitAnswer.Accepted && health.typicalWriteMs > ANNOUNCE_ABOVE_MS) {
-            scope.launch(control) { runner?.takeAnnounced(job) ?: leaderLink.announce(job) }
+            scope.launch(control) { runner?.acceptAnnounced(job) ?: leaderLink.announce(job) }
         }
         return answer
     }
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/SchedulerTrial.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/SchedulerTrial.kt
@@ -26,7 +26,7 @@
 import dev.bronzeshore.core.cluster.WorkerRosterRow
 import dev.bronzeshore.core.cluster.decodeRow
 import dev.bronzeshore.core.cluster.encodeRow
-import dev.bronzeshore.scheduler.AdviceCaller
+import dev.bronzeshore.scheduler.AdviceClient
 import dev.bronzeshore.scheduler.LeaderDependencies
 import dev.bronzeshore.scheduler.LeaderTermRunner
 import dev.bronzeshore.scheduler.SchedulerMetrics
@@ -73,7 +73,7 @@
     /** Terms of the queues of jobs that are submitted from now on. */
     var adviceTerms: AdviceTerms? = null
 
-    private val adviceCallers = List(ADVICE_CALLERS) { AdviceCaller("n$it", ::advise) }
+    private val adviceClients = List(ADVICE_CALLERS) { AdviceClient("n$it", ::advise) }
     private var term = 0L
     private var leader: Job? = null
     private val jobs = HashMap<Long, Job>()
@@ -117,13 +117,13 @@
             calls = workers.calls(lookDelayMs),
             bounds = boundsForTests(),
             clock = ::nowMs,
-            timeOfDay = ::nowMs,
+            wallClock = ::nowMs,
             metrics = SchedulerMetrics(),
             renewal = TermRenewal({ null }, {}),
-            adviceCallers = { adviceCallers },
+            adviceClients = { adviceClients },
             workerTable = WORKER_TABLE,
             decodeWorker = ::decode,
-            onDeposed = { jobs[version]?.cancel() },
+            onLeadershipLost = { jobs[version]?.cancel() },
         )
         val started = LeaderTermRunner(dependencies, term, version)
         runner = started
