--- /dev/null
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/FreeCapacity.kt
@@ -0,0 +1,31 @@
+/** Free capacity of the workers during one planning round. */
+package dev.bronzeshore.scheduler
+
+import dev.bronzeshore.core.Resources
+
+internal class FreeCapacity {
+    private val reserved = HashMap<TrackedWorker, Resources>()
+
+    fun free(worker: TrackedWorker): Resources = reserved[worker]?.let { worker.free - it } ?: worker.free
+
+    /** Reserves capacity on [worker] against the steps that are planned later. */
+    fun reserve(worker: TrackedWorker, demand: Resources) {
+        reserved[worker] = reserved[worker]?.plus(demand) ?: demand
+    }
+
+    /** How many tasks with the given demand fit into the free capacity. */
+    fun countFitting(worker: TrackedWorker, demand: Resources): Int = demand.countIn(free(worker))
+}
+
+/** How many times this amount fits into [available]. */
+internal fun Resources.countIn(available: Resources): Int = minOf(
+    timesIn(processorsMillicores, available.processorsMillicores),
+    timesIn(memoryBytes, available.memoryBytes),
+    timesIn(accelerators, available.accelerators),
+)
+
+private fun timesIn(demand: Long, available: Long): Int = when {
+    available < 0 -> 0
+    demand <= 0 -> Int.MAX_VALUE
+    else -> (available / demand).coerceAtMost(Int.MAX_VALUE.toLong()).toInt()
+}
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/JobLifecycle.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/JobLifecycle.kt
@@ -1,4 +1,4 @@
-/** Moves jobs from acceptance to their end, and tasks from one run to the next. */
+/** Tracks jobs from acceptance to their end, and tasks from one run to the next. */
 package dev.bronzeshore.scheduler
 
 import dev.bronzeshore.core.cluster.AcceptedJob
@@ -6,19 +6,19 @@
 import dev.bronzeshore.core.cluster.JobPhase
 import dev.bronzeshore.core.cluster.TaskEnd
 
-/** Pause before a task starts again after a run that was lost or stopped, so that a fast failure does not spin. */
+/** Pause before a task starts again after a run that failed, was lost or was stopped; avoids a busy loop. */
 private const val RESTART_PAUSE_MS = 20L
 
-/** Pause before a service task starts again. */
+/** The same for a service task, which starts again after each end of its run. */
 private const val SERVICE_RESTART_PAUSE_MS = 200L
 
 internal class JobLifecycle(private val context: TermContext, private val stopper: RunStopper) {
-    private val book get() = context.book
+    private val jobRegistry get() = context.jobRegistry
 
-    /** Takes in an accepted job; repeated calls have no effect. */
+    /** Adds an accepted job; idempotent. */
     fun accept(accepted: AcceptedJob, version: Long) {
         val ageMs = (context.wallClock() - accepted.acceptedAtMs).coerceIn(0, MAX_AGE_MS)
-        val job = book.add(accepted, context.clock() - ageMs) ?: return
+        val job = jobRegistry.add(accepted, context.clock() - ageMs) ?: return
         context.log.event(
             "job_known",
             "job" to job.id,
@@ -28,50 +28,54 @@
             "age_ms" to ageMs,
             "objective_in_ms" to job.objectiveAtMs - context.clock(),
         )
-        if (job.isOpen && book.isCancelled(job.id)) close(job, JobPhase.CANCELLED, "cancelled before it was known")
+        if (job.isOpen &&
+            jobRegistry.isCancelled(job.id)
+        ) {
+            close(job, JobPhase.CANCELLED, "cancelled before it was known")
+        }
         context.wakePlanner()
     }
 
     fun cancel(jobId: String) {
-        val job = book.cancel(jobId) ?: return
+        val job = jobRegistry.cancel(jobId) ?: return
         close(job, JobPhase.CANCELLED, "cancelled by its caller")
     }
 
-    /** Takes in the end of [placement]'s run. */
+    /** Processes the end of [placement]'s run. */
     fun ended(placement: Placement, end: TaskEnd) {
         val task = placement.task
         placement.worker.remove(placement)
         context.metrics.end(end.kind.name)
         if (end.kind == EndKind.DONE) observeSpeed(placement)
-        noteEnd(task, end, placement.worker)
+        recordEnd(task, end, placement.worker)
     }
 
     private fun observeSpeed(placement: Placement) {
         val step = placement.task.step.description
-        if (!placement.showsSpeed) return
+        if (!placement.isSpeedSample) return
         val ratio = (context.clock() - placement.orderedAtMs).toDouble() / step.estimateMs
-        context.fleet.speeds.observe(placement.task.step.job.terms.queue, placement.worker, ratio)
+        context.workerPool.speeds.observe(placement.task.step.job.terms.queue, placement.worker, ratio)
     }
 
-    /** Takes in an end whose run this leader did not order; it counts unless another run has replaced it. */
-    fun endedUnplaced(worker: TrackedWorker, end: TaskEnd) {
-        val task = book.task(end.run.task) ?: return
-        if (task.placement != null || end.run.run < task.lastRun) return noteEarlierFailure(task, end)
+    /** Processes the end of a run that has no placement here; it counts unless a later run has replaced it. */
+    fun endedWithoutPlacement(worker: TrackedWorker, end: TaskEnd) {
+        val task = jobRegistry.task(end.run.task) ?: return
+        if (task.placement != null || end.run.run < task.lastRun) return recordEarlierFailure(task, end)
         task.lastRun = end.run.run
-        noteEnd(task, end, worker)
+        recordEnd(task, end, worker)
     }
 
-    /** A failure of an earlier run counts as well: reports of several workers come in any order after a takeover. */
-    private fun noteEarlierFailure(task: TrackedTask, end: TaskEnd) {
+    /** A failure of an earlier run counts as well: after a takeover, reports of several workers arrive in any order. */
+    private fun recordEarlierFailure(task: TrackedTask, end: TaskEnd) {
         if (end.kind != EndKind.FAILED || !task.step.job.isOpen || task.isDone) return
         val job = task.step.job
         if (countFailure(task, end.run.run) >= job.terms.maxAttempts && !task.step.description.isService) {
             close(job, JobPhase.FAILED, "task ${task.name} failed ${job.terms.maxAttempts} times")
         }
-        context.noteChange(job)
+        context.markChanged(job)
     }
 
-    /** The run does not exist any more and has left no end. */
+    /** The run no longer exists, and its worker will not report an end for it. */
     fun lost(placement: Placement, reason: String) {
         placement.worker.remove(placement)
         context.log.event(
@@ -84,7 +88,7 @@
         restartLater(placement.task)
     }
 
-    private fun noteEnd(task: TrackedTask, end: TaskEnd, worker: TrackedWorker) {
+    private fun recordEnd(task: TrackedTask, end: TaskEnd, worker: TrackedWorker) {
         val job = task.step.job
         context.log.event(
             "run_ended",
@@ -96,17 +100,17 @@
         )
         task.hasStarted = true
         if (!job.isOpen || task.isDone) return context.wakePlanner()
-        end.checkpoint?.let { keepCheckpoint(task, it) }
+        end.checkpoint?.let { recordCheckpoint(task, it) }
         when (end.kind) {
             EndKind.DONE -> done(task)
             EndKind.FAILED -> failed(task, end, worker)
             else -> restartLater(task)
         }
-        context.noteChange(job)
+        context.markChanged(job)
         context.wakePlanner()
     }
 
-    private fun keepCheckpoint(task: TrackedTask, checkpoint: String) =
+    private fun recordCheckpoint(task: TrackedTask, checkpoint: String) =
         if (task.step.description.isGang) task.step.shareCheckpoint(checkpoint) else task.checkpoint = checkpoint
 
     private fun done(task: TrackedTask) {
@@ -141,7 +145,7 @@
 
     private fun close(job: TrackedJob, phase: JobPhase, reason: String) {
         if (!job.isOpen) return
-        book.close(job, phase, context.wallClock())
+        jobRegistry.close(job, phase, context.wallClock())
         val durationMs = context.clock() - job.acceptedAtMs
         context.log.event(
             "job_ended",
@@ -154,12 +158,12 @@
         )
         context.metrics.jobEnded(job.terms.queue, phase.name, durationMs)
         job.steps.flatMap { it.tasks }.mapNotNull { it.placement }.forEach { stopper.stop(it, reason) }
-        context.noteChange(job)
+        context.markChanged(job)
         context.wakePlanner()
     }
 
     private companion object {
-        /** Times of day differ between machines; an older job is treated as this old. */
+        /** Wall clocks differ between machines, so a job that seems older is treated as this old. */
         const val MAX_AGE_MS = 120_000L
     }
 }
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/JobBook.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/JobRegistry.kt
@@ -1,4 +1,4 @@
-/** All jobs that the leader knows. Not thread-safe. */
+/** The jobs that the leader knows. Not thread-safe. */
 package dev.bronzeshore.scheduler
 
 import dev.bronzeshore.core.cluster.AcceptedJob
@@ -6,12 +6,12 @@
 import dev.bronzeshore.core.cluster.JobProgress
 import dev.bronzeshore.core.cluster.TaskName
 
-internal class JobBook {
+internal class JobRegistry {
     private val jobs = LinkedHashMap<String, TrackedJob>()
     private val open = LinkedHashMap<String, TrackedJob>()
     private val cancelled = HashSet<String>()
 
-    /** Time of day at which jobs ended whose end is stored or about to be. */
+    /** Wall-clock end times of jobs whose end is stored or about to be. */
     private val ended = LinkedHashMap<String, Long>()
     private val storedProgress = HashMap<String, JobProgress>()
 
@@ -22,20 +22,20 @@
 
     fun task(name: TaskName): TrackedTask? = jobs[name.jobId]?.task(name)
 
-    /** Notes a job whose end is stored; a late message about it must not start it again. */
-    fun noteEnded(jobId: String, endedAtMs: Long) {
+    /** Records a job whose end is stored, so that a late message about it does not start it again. */
+    fun recordEnded(jobId: String, endedAtMs: Long) {
         ended[jobId] = endedAtMs
     }
 
-    /** Jobs that ended before a time of day. */
+    /** Jobs that ended before the wall-clock time [timeMs]. */
     fun endedBefore(timeMs: Long): List<String> = ended.filterValues { it < timeMs }.keys.toList()
 
-    /** Notes what a former leader stored; it is applied when the job itself is added. */
-    fun noteProgress(jobId: String, progress: JobProgress) {
+    /** Keeps progress that a former leader stored until the job itself is added. */
+    fun recordProgress(jobId: String, progress: JobProgress) {
         storedProgress[jobId] = progress
     }
 
-    /** Adds an accepted job; null if it is known already. */
+    /** Adds an accepted job; returns null if it is known already. */
     fun add(accepted: AcceptedJob, nowMs: Long): TrackedJob? {
         if (accepted.jobId in jobs || accepted.jobId in ended) return null
         val job = TrackedJob(accepted, nowMs)
@@ -45,7 +45,7 @@
         return job
     }
 
-    /** Notes a cancellation; returns the job if it is open. A cancellation may come before its job. */
+    /** Records a cancellation, which may arrive before its job; returns the job if it is open. */
     fun cancel(jobId: String): TrackedJob? {
         cancelled += jobId
         return jobs[jobId]?.takeIf { it.isOpen }
@@ -62,7 +62,7 @@
         ended[job.id] = endedAtMs
     }
 
-    /** Drops all knowledge of a job whose rows are deleted. */
+    /** Removes a job whose rows are deleted. */
     fun forget(jobId: String) {
         jobs.remove(jobId)
         cancelled.remove(jobId)
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/LeaderTermRunner.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/LeaderTermRunner.kt
@@ -1,5 +1,5 @@
 /**
- * The work of a leader during one term: recovery, then planning, sessions with the workers, and the journal.
+ * Runs the work of a leader during one term: recovery, then planning, worker sessions and the progress journal.
  *
  * Everything runs on the control thread.
  */
@@ -24,21 +24,21 @@
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.withTimeoutOrNull
 
-/** Pause after a round of planning; changes that come meanwhile are planned together. */
+/** Pause after a planning round; changes that arrive meanwhile are planned together. */
 private const val ROUND_PAUSE_MS = 4L
 
-/** A round runs at least this often, for starts that wait for a time. */
-private const val IDLE_ROUND_MS = 100L
-private const val UPKEEP_EVERY_MS = 250L
+/** Longest time between two rounds, for starts that wait for a point in time. */
+private const val MAX_ROUND_INTERVAL_MS = 100L
+private const val MAINTENANCE_PERIOD_MS = 250L
 
-/** Longest wait of a change feed, which bounds how late a silent connection is noticed. */
-private const val FEED_WAIT_MS = 1_000L
+/** Longest wait of a change feed request, which bounds how late a dead connection is noticed. */
+private const val CHANGE_FEED_WAIT_MS = 1_000L
 
-/** Entries of workers change at each of their heartbeats; reading them at most this often bounds the calls. */
+/** A worker entry changes with each heartbeat of the worker; this pause limits the number of feed requests. */
 private const val WORKER_FEED_PAUSE_MS = 200L
 private const val RETRY_MS = 150L
 
-/** What a leader needs from the process. */
+/** What a leader needs from the process that runs it. */
 public class LeaderDependencies(
     public val store: ClusterStore,
     public val calls: WorkerCalls,
@@ -50,22 +50,21 @@
     public val adviceClients: () -> List<AdviceClient>,
     public val workerTable: String,
     public val decodeWorker: (StoredRow) -> WorkerChange,
-    /** Ends the term: a fence of a worker or the term row in the store has shown that another process leads. */
+    /** Ends the term: a worker refused the fencing token, or the term row shows that another process leads. */
     public val onLeadershipLost: suspend () -> Unit,
 )
 
-/** One term; [run] returns only by cancellation. */
+/** Runs one term; [run] ends only by cancellation. */
 public class LeaderTermRunner(
     private val dependencies: LeaderDependencies,
     private val term: Long,
     private val termRowVersion: Long,
 ) {
-    private var running: TermContext? = null
-    private var intake: JobLifecycle? = null
+    private var currentContext: TermContext? = null
+    private var jobLifecycle: JobLifecycle? = null
 
-    /** Leads until cancelled. */
     public suspend fun run(): Unit = coroutineScope {
-        val context = newContext(this).also { running = it }
+        val context = newContext(this).also { currentContext = it }
         val stopper = RunStopper(context)
         val lifecycle = JobLifecycle(context, stopper)
         val quarantine = Quarantine(context)
@@ -75,19 +74,20 @@
         val recovery = Recovery(context, dependencies, lifecycle, registry, journal)
         val planner = Planner(context, recovery::mayStart)
         val starter = TaskStarter(context, stopper)
-        val advice = AdviceDesk(context, dependencies.adviceClients) { planner.eligible(it, context.clock()) }
+        val advice =
+            AdviceDispatcher(context, dependencies.adviceClients) { planner.eligibleWorkers(it, context.clock()) }
         val wakePlanner = Channel<Unit>(Channel.CONFLATED)
         context.wakePlanner = { wakePlanner.trySend(Unit) }
         context.wakeJournal = journal::wake
         val versions = recovery.load()
-        intake = lifecycle
+        jobLifecycle = lifecycle
         launch { followIntake(lifecycle, versions.intake) }
         launch { followWorkers(registry, versions.workers) }
         launch { journal.run() }
-        launch { RowCollector(context).run() }
-        launch { keepUp(registry, StragglerCheck(context, stopper, quarantine)) }
+        launch { RowGarbageCollector(context).run() }
+        launch { maintain(registry, StallDetector(context, stopper, quarantine)) }
         while (true) {
-            withTimeoutOrNull(IDLE_ROUND_MS) { wakePlanner.receive() }
+            withTimeoutOrNull(MAX_ROUND_INTERVAL_MS) { wakePlanner.receive() }
             val plan = planner.plan()
             plan.starts.forEach(starter::start)
             advice.ask(plan.adviceNeeded)
@@ -95,12 +95,12 @@
         }
     }
 
-    /** Takes in a job that a process has stored and tells of before the change feed does. */
-    public fun acceptAnnounced(job: AcceptedJob): Unit? = intake?.accept(job, version = 0)
+    /** Accepts a job that a process has stored and announces before the change feed delivers it. */
+    public fun acceptAnnounced(job: AcceptedJob): Unit? = jobLifecycle?.accept(job, version = 0)
 
-    /** The state that callers may see of a job, or null when this leader does not know it. */
+    /** The phase of a job that callers may see, or null if this leader does not know the job. */
     public fun phaseOf(jobId: String): JobPhase? {
-        val job = running?.book?.find(jobId) ?: return null
+        val job = currentContext?.jobRegistry?.find(jobId) ?: return null
         return when {
             job.savedPhase.isEnded -> job.savedPhase
             job.steps.any { it.hasStarted } -> JobPhase.RUNNING
@@ -114,31 +114,36 @@
     )
 
     private suspend fun followIntake(lifecycle: JobLifecycle, fromVersion: Long) {
-        follow(Tables.INTAKE, fromVersion, pauseMs = 0) { rows -> rows.forEach { takeIntake(it, lifecycle) } }
+        followTable(Tables.INTAKE, fromVersion, pauseMs = 0) { rows -> rows.forEach { applyIntakeRow(it, lifecycle) } }
     }
 
     private suspend fun followWorkers(registry: WorkerRegistry, fromVersion: Long) {
-        follow(dependencies.workerTable, fromVersion, WORKER_FEED_PAUSE_MS) { rows ->
+        followTable(dependencies.workerTable, fromVersion, WORKER_FEED_PAUSE_MS) { rows ->
             rows.forEach { registry.apply(dependencies.decodeWorker(it)) }
         }
     }
 
-    /** Passes on the changes of a table; after a gap in its history the whole table is read again. */
-    private suspend fun follow(table: String, fromVersion: Long, pauseMs: Long, take: (List<StoredRow>) -> Unit) {
+    /** Passes on the changes of a table; if the store no longer has some of them, the whole table is read again. */
+    private suspend fun followTable(
+        table: String,
+        fromVersion: Long,
+        pauseMs: Long,
+        applyRows: (List<StoredRow>) -> Unit,
+    ) {
         var version = fromVersion
         while (true) {
-            dependencies.store.changes(table, version, FEED_WAIT_MS).fold(
+            dependencies.store.changes(table, version, CHANGE_FEED_WAIT_MS).fold(
                 ifLeft = { failure ->
                     if (failure is ReadFailure.HistoryGone) {
                         TableReader(dependencies.store).readTable(table)?.let {
-                            take(it.rows)
+                            applyRows(it.rows)
                             version = it.version
                         }
                     }
                     delay(RETRY_MS)
                 },
                 ifRight = { page ->
-                    if (page.rows.isNotEmpty()) take(page.rows)
+                    if (page.rows.isNotEmpty()) applyRows(page.rows)
                     version = maxOf(version, page.version)
                     if (pauseMs > 0) delay(pauseMs)
                 },
@@ -146,22 +151,20 @@
         }
     }
 
-    private suspend fun keepUp(registry: WorkerRegistry, stragglers: StragglerCheck) {
+    private suspend fun maintain(registry: WorkerRegistry, stallDetector: StallDetector) {
         while (true) {
-            delay(UPKEEP_EVERY_MS)
+            delay(MAINTENANCE_PERIOD_MS)
             registry.expireLeases()
-            stragglers.check()
+            stallDetector.restartStalledRuns()
         }
     }
 }
 
-/** Takes in a row of the intake table: an accepted job or a cancellation. */
-internal fun takeIntake(row: StoredRow, lifecycle: JobLifecycle) {
+/** Applies a row of the intake table: an accepted job or a cancellation. */
+internal fun applyIntakeRow(row: StoredRow, lifecycle: JobLifecycle) {
     val value = row.value ?: return
     val cancelled = Tables.cancelledJobOf(row.id.key)
-    if (cancelled !=
-        null
-    ) {
+    if (cancelled != null) {
         lifecycle.cancel(cancelled)
     } else {
         lifecycle.accept(decodeRow(AcceptedJob.serializer(), value), row.version)
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/ProgressJournal.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/ProgressJournal.kt
@@ -1,9 +1,9 @@
 /**
- * Stores the progress of jobs, many in one transaction, under the condition that this process still leads.
+ * Stores the progress of jobs in batches, each in one transaction that requires this process to be the leader still.
  *
- * An end is acknowledged to its worker, and a job is shown as ended, only after its row is stored. A write without an
- * answer may take effect seconds later: each write requires the journal row as the last one left it, so that an older
- * write cannot replace the rows of a newer one.
+ * A run's end is acknowledged to its worker, and a job is shown as ended, only after its row is stored. A write whose
+ * response was lost may take effect seconds later. Therefore each write requires the version of the journal row that
+ * the previous write left, so that an older write cannot overwrite the rows of a newer one.
  */
 package dev.bronzeshore.scheduler
 
@@ -23,15 +23,15 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.withTimeoutOrNull
 
-/** A transaction takes 100 entries; the others are kept for the rows that go along. */
+/** A transaction holds up to 100 entries; the rest is left for the rows that are written along with the jobs. */
 private const val MAX_JOBS_IN_BATCH = 90
 
-/** Shortest time between two writes; each one costs a priced call, and a job's end waits for at most this long. */
+/** Shortest time between two writes: each write is a billed call. It delays a job's end by at most this time. */
 private const val MIN_INTERVAL_MS = 15L
 
-/** Counts may be two seconds old when a caller sees them. */
-private const val COUNTS_EVERY_MS = 500L
-private const val SPEEDS_EVERY_MS = 2_000L
+/** The counts of waiting jobs may be two seconds old when a caller sees them. */
+private const val COUNTS_PERIOD_MS = 500L
+private const val SPEEDS_PERIOD_MS = 2_000L
 private const val RETRY_MS = 100L
 
 internal class ProgressJournal(private val context: TermContext) {
@@ -46,7 +46,7 @@
         wake.trySend(Unit)
     }
 
-    /** The roster that a former leader left, and the version of its last write. */
+    /** Continues from the roster that a former leader stored and from the version of its last write. */
     fun adopt(workers: List<RosterWorker>, journalRowVersion: Long) {
         savedRoster = workers.toSet()
         this.journalRowVersion = journalRowVersion
@@ -54,19 +54,19 @@
 
     suspend fun run() {
         while (true) {
-            withTimeoutOrNull(COUNTS_EVERY_MS) { wake.receive() }
+            withTimeoutOrNull(COUNTS_PERIOD_MS) { wake.receive() }
             while (!flush()) delay(RETRY_MS)
             delay(MIN_INTERVAL_MS)
         }
     }
 
-    /** Stores what has changed; false if some of it could not be stored. */
+    /** Stores the next batch of changes; false if the write failed or its outcome is unknown. */
     suspend fun flush(): Boolean {
         val counts = dueCounts()
         val roster = changedRoster()
         if (context.changes.isEmpty && counts == null && roster == null) return true
         val batch = context.changes.takeBatch(MAX_JOBS_IN_BATCH)
-        val beat = context.renewal.dueBeat()
+        val heartbeat = context.renewal.dueHeartbeat()
         val writes =
             batch.jobs.map {
                 RowWrite(Tables.progressRow(it.id), encodeRow(JobProgress.serializer(), it.toProgress()))
@@ -81,7 +81,7 @@
                             encodeRow(WorkerRosterRow.serializer(), WorkerRosterRow(it.toList())),
                         )
                     },
-                ) + listOfNotNull(beat, dueSpeeds(), RowWrite(Tables.JOURNAL_ROW, ByteArray(0)))
+                ) + listOfNotNull(heartbeat, dueSpeeds(), RowWrite(Tables.JOURNAL_ROW, ByteArray(0)))
         val phases = batch.jobs.associateWith { it.phase }
         val startedAtMs = context.clock()
         val conditions = listOf(
@@ -92,32 +92,32 @@
         context.metrics.journalWrite(outcome::class.simpleName.orEmpty(), context.clock() - startedAtMs)
         if (outcome is StoreOutcome.Applied) {
             journalRowVersion = outcome.version
-            if (beat != null) context.renewal.renewed(startedAtMs)
-            saved(batch, phases, counts, roster)
+            if (heartbeat != null) context.renewal.recordRenewal(startedAtMs)
+            markBatchSaved(batch, phases, counts, roster)
             return true
         }
-        context.changes.putBack(batch)
-        // The store may hold the roster that was sent: it has to be written again before tasks start by an older one.
+        context.changes.requeue(batch)
+        // The store may hold the new roster: it is written again before tasks start on the strength of the older one.
         if (roster != null && outcome is StoreOutcome.Unknown) savedRoster = emptySet()
         context.log.event("journal_failed", "jobs" to batch.jobs.size, "outcome" to outcome::class.simpleName)
-        if (outcome is StoreOutcome.Conflict) resolve(outcome)
+        if (outcome is StoreOutcome.Conflict) handleConflict(outcome)
         return false
     }
 
-    /** Either another process leads, or an earlier write without an answer has taken effect. */
-    private suspend fun resolve(conflict: StoreOutcome.Conflict) {
+    /** Either another process leads, or an earlier write with an unknown outcome has taken effect. */
+    private suspend fun handleConflict(conflict: StoreOutcome.Conflict) {
         val isLeader = conflict.rows.any { it.id == Tables.TERM_ROW && it.version == context.termRowVersion }
         if (!isLeader) return context.onLeadershipLost()
         journalRowVersion = conflict.rows.firstOrNull { it.id == Tables.JOURNAL_ROW }?.version ?: 0
     }
 
-    private fun saved(
+    private fun markBatchSaved(
         batch: ChangeBatch,
         phases: Map<TrackedJob, JobPhase>,
         counts: Map<String, Int>?,
         roster: Set<RosterWorker>?,
     ) {
-        context.savedChange = maxOf(context.savedChange, batch.savedUpTo)
+        context.savedChangeNumber = maxOf(context.savedChangeNumber, batch.savedUpTo)
         phases.forEach { (job, phase) -> job.savedPhase = phase }
         counts?.let {
             savedCounts = it
@@ -125,22 +125,22 @@
         }
         roster?.let { saved ->
             savedRoster = saved
-            markSaved()
+            updateRosterFlags()
         }
         if (!context.changes.isEmpty) wake()
     }
 
-    /** Learned speeds go along with another write; a later leader would have to learn them anew. */
+    /** Learned worker speeds are stored along with other rows, so that a later leader need not learn them anew. */
     private fun dueSpeeds(): RowWrite? {
-        if (context.clock() - speedsAtMs < SPEEDS_EVERY_MS) return null
+        if (context.clock() - speedsAtMs < SPEEDS_PERIOD_MS) return null
         speedsAtMs = context.clock()
-        val row = WorkerSpeedsRow(context.fleet.speeds.toRow(context.fleet.workers))
+        val row = WorkerSpeedsRow(context.workerPool.speeds.toRow(context.workerPool.workers))
         return RowWrite(Tables.SPEEDS_ROW, encodeRow(WorkerSpeedsRow.serializer(), row))
     }
 
-    private fun markSaved() {
+    private fun updateRosterFlags() {
         var isAdded = false
-        for (worker in context.fleet.workers) {
+        for (worker in context.workerPool.workers) {
             val isSaved = worker.toRoster() in savedRoster
             isAdded = isAdded || isSaved && !worker.isOnRoster
             worker.isOnRoster = isSaved
@@ -149,14 +149,14 @@
     }
 
     private fun dueCounts(): Map<String, Int>? {
-        if (context.clock() - countsAtMs < COUNTS_EVERY_MS && savedCounts != null) return null
-        return context.book.waitingByQueue().takeIf { it != savedCounts }
+        if (context.clock() - countsAtMs < COUNTS_PERIOD_MS && savedCounts != null) return null
+        return context.jobRegistry.waitingByQueue().takeIf { it != savedCounts }
     }
 
     private fun changedRoster(): Set<RosterWorker>? {
-        val wanted = context.fleet.workers.filterNot { it.isGone }.map { it.toRoster() }.toSet()
+        val wanted = context.workerPool.workers.filterNot { it.isGone }.map { it.toRoster() }.toSet()
         if (wanted != savedRoster) return wanted
-        markSaved()
+        updateRosterFlags()
         return null
     }
 }
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/Recovery.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/Recovery.kt
@@ -1,9 +1,9 @@
 /**
- * Takes over from a former leader.
+ * Restores the leader's state at the start of a term.
  *
- * Starts are not stored, so a task may run on any worker that a former leader used. It starts only once each of these
- * workers has reported under this leader's fence, or its leases are over. That holds as well for jobs that were stored
- * after the takeover: the former leader may not have noticed it yet and start them.
+ * Starts are not stored, so a task may already run on any worker that a former leader used. A task starts only once
+ * each of these workers has reported under this leader's fencing token, or their leases have expired. That holds as
+ * well for jobs that were stored after the takeover: a former leader that has not noticed the takeover may start them.
  */
 package dev.bronzeshore.scheduler
 
@@ -20,7 +20,7 @@
 
 private const val RETRY_MS = 100L
 
-/** Versions from which the changes of the tables are followed. */
+/** Table versions from which the change feeds continue. */
 internal class LoadedVersions(val intake: Long, val workers: Long)
 
 internal class Recovery(
@@ -33,12 +33,12 @@
     private val reader = TableReader(dependencies.store)
     private var isComplete = false
 
-    /** Reads what former leaders stored and starts the sessions with the workers. */
+    /** Reads what former leaders stored and starts the worker sessions. */
     suspend fun load(): LoadedVersions {
         val startedAtMs = context.clock()
         val tables = listOf(dependencies.workerTable, Tables.LEADER_NOTES, Tables.PROGRESS, Tables.INTAKE)
         val contents = coroutineScope {
-            tables.map { table -> async { table to untilRead { reader.readTable(table) } } }.awaitAll().toMap()
+            tables.map { table -> async { table to retryUntilRead { reader.readTable(table) } } }.awaitAll().toMap()
         }
         val workers = contents.getValue(dependencies.workerTable)
         val notes = contents.getValue(Tables.LEADER_NOTES)
@@ -49,13 +49,13 @@
         for (row in progress.rows) {
             val stored = row.value?.let { decodeRow(JobProgress.serializer(), it) } ?: continue
             if (stored.phase.isEnded) {
-                context.book.noteEnded(row.id.key, stored.endedAtMs ?: context.wallClock())
+                context.jobRegistry.recordEnded(row.id.key, stored.endedAtMs ?: context.wallClock())
             } else {
-                context.book.noteProgress(row.id.key, stored)
+                context.jobRegistry.recordProgress(row.id.key, stored)
             }
         }
-        // Jobs that have ended need no decoding; after some minutes they are most of the table.
-        intake.rows.filterNot { context.book.isEnded(it.id.key) }.forEach { takeIntake(it, lifecycle) }
+        // Ended jobs are not decoded: after some minutes they are most of the table.
+        intake.rows.filterNot { context.jobRegistry.isEnded(it.id.key) }.forEach { applyIntakeRow(it, lifecycle) }
         workers.rows.map { dependencies.decodeWorker(it) }.forEach { registry.addListed(it) }
         journal.adopt(roster, notes.rows.firstOrNull { it.id == Tables.JOURNAL_ROW }?.version ?: 0)
         roster.forEach { registry.addFormer(it) }
@@ -64,8 +64,8 @@
             "recovery_loaded",
             "term" to context.term,
             "jobs" to intake.rows.size,
-            "open" to context.book.openJobs.size,
-            "workers" to context.fleet.workers.size,
+            "open" to context.jobRegistry.openJobs.size,
+            "workers" to context.workerPool.workers.size,
             "duration_ms" to context.clock() - startedAtMs,
         )
         return LoadedVersions(intake.version, workers.version)
@@ -81,10 +81,10 @@
 
     private fun restoreSpeeds(value: ByteArray) {
         val stored = decodeRow(WorkerSpeedsRow.serializer(), value).logSlowness
-        context.fleet.workers.forEach { worker -> stored[worker.id]?.let { worker.speed.restore(it) } }
+        context.workerPool.workers.forEach { worker -> stored[worker.id]?.let { worker.speed.restore(it) } }
     }
 
-    private suspend fun untilRead(read: suspend () -> TableContent?): TableContent {
+    private suspend fun retryUntilRead(read: suspend () -> TableContent?): TableContent {
         while (true) {
             read()?.let { return it }
             delay(RETRY_MS)
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/ReportHandler.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/ReportHandler.kt
@@ -1,4 +1,4 @@
-/** Compares what a worker reports with what the leader believes, and mends the difference. */
+/** Reconciles the state that the leader tracks with the runs and ends that a worker reports. */
 package dev.bronzeshore.scheduler
 
 import dev.bronzeshore.core.Resources
@@ -7,10 +7,10 @@
 import dev.bronzeshore.core.cluster.TaskEnd
 import dev.bronzeshore.core.cluster.TaskRun
 
-/** A worker lists at most this many ends in one report; with fewer, the list is complete. */
+/** A worker lists at most this many ends in one report; a report with fewer is complete. */
 private const val MAX_ENDS_IN_REPORT = 500
 
-/** Progress below this share of a task says little about its speed. */
+/** Below this progress, the time of a run says little about the speed of its worker. */
 private const val MIN_PERCENT_FOR_SPEED = 10
 private const val PERCENT = 100.0
 
@@ -20,15 +20,15 @@
     private val stopper: RunStopper,
     private val quarantine: Quarantine,
 ) {
-    /** Takes in a report that was asked for at [requestedAtMs]. */
+    /** Processes a report that was requested at [requestedAtMs]. */
     fun handle(worker: TrackedWorker, report: HoldAnswer.Report, requestedAtMs: Long) {
         val now = context.clock()
         worker.clock.observe(report.workerClockMs, now)
         if (!worker.isReachable) context.wakeJournal()
         worker.markReachable()
-        for (end in report.ends) if (end.number > worker.lastEndNumber) takeEnd(worker, end)
-        for (running in report.running) takeRunning(worker, running, now)
-        if (report.ends.size < MAX_ENDS_IN_REPORT) dropMissing(worker, report, requestedAtMs)
+        for (end in report.ends) if (end.number > worker.lastEndNumber) handleEnd(worker, end)
+        for (running in report.running) handleRunning(worker, running, now)
+        if (report.ends.size < MAX_ENDS_IN_REPORT) removeMissing(worker, report, requestedAtMs)
         if (!worker.isContacted) {
             worker.isContacted = true
             context.log.event(
@@ -41,20 +41,20 @@
         context.wakePlanner()
     }
 
-    private fun takeEnd(worker: TrackedWorker, end: TaskEnd) {
+    private fun handleEnd(worker: TrackedWorker, end: TaskEnd) {
         worker.lastEndNumber = end.number
         val placement = worker.placement(end.run)
-        quarantine.note(worker, end)
+        quarantine.recordEnd(worker, end)
         if (placement != null) {
             lifecycle.ended(placement, end)
         } else {
             worker.removeStray(end.run)
-            lifecycle.endedUnplaced(worker, end)
+            lifecycle.endedWithoutPlacement(worker, end)
         }
-        worker.unsavedEnds += UnsavedEnd(end.number, context.changes.current())
+        worker.unsavedEnds += UnsavedEnd(end.number, context.changes.lastNumber())
     }
 
-    private fun takeRunning(worker: TrackedWorker, running: RunningTask, now: Long) {
+    private fun handleRunning(worker: TrackedWorker, running: RunningTask, now: Long) {
         val placement = worker.placement(running.run)
         when {
             placement != null -> update(placement, running, now)
@@ -76,17 +76,21 @@
         running.checkpoint?.let { placement.task.checkpoint = it }
     }
 
-    /** Members of a gang go as fast as the slowest one and say nothing about their own worker. */
+    /** Members of a gang are as fast as the slowest one and say nothing about their own worker. */
     private fun observeSpeed(placement: Placement, now: Long) {
         val step = placement.task.step.description
-        if (!placement.showsSpeed || placement.percent < MIN_PERCENT_FOR_SPEED) return
+        if (!placement.isSpeedSample || placement.percent < MIN_PERCENT_FOR_SPEED) return
         val impliedMs = (now - placement.orderedAtMs) * PERCENT / placement.percent
-        context.fleet.speeds.observe(placement.task.step.job.terms.queue, placement.worker, impliedMs / step.estimateMs)
+        context.workerPool.speeds.observe(
+            placement.task.step.job.terms.queue,
+            placement.worker,
+            impliedMs / step.estimateMs,
+        )
     }
 
-    /** A run of a former leader goes on if its task still needs it. */
+    /** Adopts a run that a former leader started if its task still needs it; otherwise returns false. */
     private fun adopt(worker: TrackedWorker, running: RunningTask, now: Long): Boolean {
-        val task = context.book.task(running.run.task) ?: return false
+        val task = context.jobRegistry.task(running.run.task) ?: return false
         val isWanted = task.step.job.isOpen && !task.isDone && task.placement == null && running.run.run >= task.lastRun
         if (!isWanted) return false
         val placement = Placement(task, worker, running.run, now)
@@ -104,23 +108,26 @@
     }
 
     private fun addStray(worker: TrackedWorker, run: TaskRun) {
-        // The size of a forgotten job is not known: nothing else is started until its run has ended.
-        val room: Resources = context.book.task(run.task)?.step?.room ?: worker.entry.capacity
-        worker.addStray(run, room)
+        // The demand of a forgotten job is unknown: nothing else starts on the worker until the run has ended.
+        val demand: Resources = context.jobRegistry.task(run.task)?.step?.taskDemand ?: worker.entry.capacity
+        worker.addStray(run, demand)
         stopper.stopStray(worker, run, "the run is not wanted on this worker")
     }
 
-    /** Runs that a complete report does not name do not exist, unless their order may still arrive. */
-    private fun dropMissing(worker: TrackedWorker, report: HoldAnswer.Report, requestedAtMs: Long) {
-        val named = report.running.mapTo(HashSet()) { it.run }
-        report.ends.mapTo(named) { it.run }
-        for (placement in worker.placements.filter { it.run !in named && isSettled(it, report, requestedAtMs) }) {
-            lifecycle.lost(placement, "a report of the worker does not name it")
+    /** Runs that are missing from a complete report do not exist, unless their start request may still arrive. */
+    private fun removeMissing(worker: TrackedWorker, report: HoldAnswer.Report, requestedAtMs: Long) {
+        val reported = report.running.mapTo(HashSet()) { it.run }
+        report.ends.mapTo(reported) { it.run }
+        for (placement in worker.placements.filter {
+            it.run !in reported &&
+                isAbsenceConclusive(it, report, requestedAtMs)
+        }) {
+            lifecycle.lost(placement, "missing from a report of the worker")
         }
-        for (run in worker.strayRuns.filter { it !in named }) worker.removeStray(run)
+        for (run in worker.strayRuns.filter { it !in reported }) worker.removeStray(run)
     }
 
-    private fun isSettled(placement: Placement, report: HoldAnswer.Report, requestedAtMs: Long): Boolean {
+    private fun isAbsenceConclusive(placement: Placement, report: HoldAnswer.Report, requestedAtMs: Long): Boolean {
         val confirmedAtMs = placement.confirmedAtMs
         return when {
             confirmedAtMs != null -> requestedAtMs > confirmedAtMs
--- /dev/null
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/RowGarbageCollector.kt
@@ -0,0 +1,68 @@
+/**
+ * Deletes rows that are no longer needed.
+ *
+ * The accepted row of a job is deleted soon after the job's end is stored, so that a takeover reads little more than
+ * the open jobs. The progress row is kept until the status retention is over; without it, a repeated submission would
+ * start the job again. Then both are deleted, the accepted row first, as a repeated submission may have rewritten it.
+ */
+package dev.bronzeshore.scheduler
+
+import dev.bronzeshore.core.cluster.RowCondition
+import dev.bronzeshore.core.cluster.StoreOutcome
+import dev.bronzeshore.core.cluster.StoreTransaction
+import dev.bronzeshore.core.cluster.Tables
+import dev.bronzeshore.core.cluster.isEnded
+import kotlinx.coroutines.delay
+
+/** Added to the status retention of ended jobs; repeated submissions arrive within seconds. */
+private const val RETENTION_MARGIN_MS = 60_000L
+private const val COLLECTION_PERIOD_MS = 5_000L
+
+/** Jobs deleted by one transaction, which holds up to 100 entries and must not delay other writes. */
+private const val MAX_JOBS_IN_TRANSACTION = 40
+
+internal class RowGarbageCollector(private val context: TermContext) {
+    /** Ended jobs whose accepted rows this leader has deleted. */
+    private val jobsWithoutAcceptedRow = HashSet<String>()
+
+    suspend fun run() {
+        while (true) {
+            delay(COLLECTION_PERIOD_MS)
+            deleteAcceptedRows()
+            deleteExpiredJobs()
+        }
+    }
+
+    /** Deletes the accepted rows of jobs whose end is stored. */
+    suspend fun deleteAcceptedRows() {
+        val ended = context.jobRegistry.allJobs
+            .filter { !it.isOpen && it.savedPhase.isEnded && it.id !in jobsWithoutAcceptedRow }
+        for (jobs in ended.map { it.id }.groupBy { Tables.intakePartOf(it) }.values) {
+            jobsWithoutAcceptedRow += deleteIntakeRows(jobs.take(MAX_JOBS_IN_TRANSACTION))
+        }
+    }
+
+    /** Deletes all rows of jobs whose status retention is over. */
+    suspend fun deleteExpiredJobs() {
+        val endedBeforeMs = context.wallClock() - context.bounds.statusRetentionMs - RETENTION_MARGIN_MS
+        val expired = context.jobRegistry.endedBefore(endedBeforeMs).take(MAX_JOBS_IN_TRANSACTION)
+        val deleted = expired.groupBy { Tables.intakePartOf(it) }.values.flatMap { deleteIntakeRows(it) }
+        if (deleted.isEmpty() || !deleteProgress(deleted)) return
+        deleted.forEach { context.jobRegistry.forget(it) }
+        jobsWithoutAcceptedRow -= deleted.toSet()
+        context.log.event("rows_deleted", "jobs" to deleted.size)
+    }
+
+    /** Returns the jobs whose rows are certainly deleted. */
+    private suspend fun deleteIntakeRows(jobIds: List<String>): List<String> {
+        val rows = jobIds.flatMap { listOf(Tables.acceptedRow(it), Tables.cancelRow(it)) }
+        val outcome = context.store.transact(StoreTransaction(deletes = rows))
+        return if (outcome is StoreOutcome.Applied) jobIds else emptyList()
+    }
+
+    private suspend fun deleteProgress(jobIds: List<String>): Boolean {
+        val condition = RowCondition(Tables.TERM_ROW, context.termRowVersion)
+        val transaction = StoreTransaction(listOf(condition), deletes = jobIds.map { Tables.progressRow(it) })
+        return context.store.transact(transaction) is StoreOutcome.Applied
+    }
+}
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/RunStopper.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/RunStopper.kt
@@ -1,15 +1,15 @@
-/** Stops runs and repeats the order until the worker confirms it. */
+/** Stops runs, repeating the stop request until the worker confirms it. */
 package dev.bronzeshore.scheduler
 
 import dev.bronzeshore.core.cluster.TaskRun
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 
-/** Pause between two stop orders for the same run. */
+/** Pause between two stop requests for the same run. */
 private const val STOP_RETRY_MS = 250L
 
 internal class RunStopper(private val context: TermContext) {
-    /** Stops a run; its room stays taken until its end is listed. */
+    /** Stops a run; its capacity stays allocated until the worker reports its end. */
     fun stop(placement: Placement, reason: String) {
         if (placement.state == PlacementState.STOPPING) return
         placement.state = PlacementState.STOPPING
@@ -21,7 +21,7 @@
         }
     }
 
-    /** Stops a run that must not be on the worker. */
+    /** Stops a run that the worker must not have. */
     fun stopStray(worker: TrackedWorker, run: TaskRun, reason: String) {
         log(run, worker, reason)
         context.scope.launch { repeatUntilConfirmed(worker, run) { run in worker.strayRuns } }
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/SchedulerMetrics.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/SchedulerMetrics.kt
@@ -1,7 +1,6 @@
 /** Counters of the scheduler as function types, so that this module does not depend on a metrics library. */
 package dev.bronzeshore.scheduler
 
-/** What the scheduler counts. */
 public class SchedulerMetrics(
     public val start: (result: String) -> Unit = {},
     public val end: (kind: String) -> Unit = {},
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/StragglerCheck.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/StallDetector.kt
@@ -1,37 +1,37 @@
 /**
  * Stops runs that make no progress, so that their tasks start on other workers.
  *
- * Slow runs are left alone: estimates of single tasks are off by several times, so that slowness of a run does not tell
- * a slow worker from a long task.
+ * Slow runs are not stopped: the estimate of a single task may be wrong by several times, so a slow run may as well be
+ * a long task as a slow worker.
  */
 package dev.bronzeshore.scheduler
 
-/** A sound run shows progress with each hundredth of its time; this covers estimates that are a few times too low. */
+/** A healthy run shows progress each percent of its duration; this covers estimates that are a few times too low. */
 private const val STALLED_AFTER_MS = 2_500L
 
-/** A gang waits for its slowest member and for its members to arrive, so it is given more time. */
+/** Members of a gang wait for all members to start and for the slowest one, so they get more time. */
 private const val GANG_STALLED_AFTER_MS = 4_500L
 private const val STALLED_ESTIMATE_SHARE = 0.5
 
 private const val DONE_PERCENT = 100
 
-internal class StragglerCheck(
+internal class StallDetector(
     private val context: TermContext,
     private val stopper: RunStopper,
     private val quarantine: Quarantine,
 ) {
-    fun check() {
+    fun restartStalledRuns() {
         val now = context.clock()
-        for (worker in context.fleet.workers.filter { it.isContacted && it.isReachable }) {
-            val running = worker.placements.filter { it.isChecked }
+        for (worker in context.workerPool.workers.filter { it.isContacted && it.isReachable }) {
+            val running = worker.placements.filter { it.isMonitored }
             val stalled = running.filter { isStalled(it, now) }
-            stalled.forEach { restart(it, "no progress for ${now - it.progressAtMs} ms") }
-            val certain = stalled.count { !it.task.step.description.isGang }
-            if (certain > 0) quarantine.isolate(worker, "$certain runs make no progress")
+            stalled.forEach { stopStalled(it, "no progress for ${now - it.progressAtMs} ms") }
+            val stalledAlone = stalled.count { !it.task.step.description.isGang }
+            if (stalledAlone > 0) quarantine.isolate(worker, "$stalledAlone runs make no progress")
         }
     }
 
-    private val Placement.isChecked: Boolean
+    private val Placement.isMonitored: Boolean
         get() = state == PlacementState.RUNNING && !task.step.description.isService && percent < DONE_PERCENT
 
     private fun isStalled(placement: Placement, now: Long): Boolean {
@@ -40,8 +40,8 @@
         return now - placement.progressAtMs > maxOf(minimumMs, (step.estimateMs * STALLED_ESTIMATE_SHARE).toLong())
     }
 
-    /** A gang is stopped as a whole, and its workers are passed over for its next run if others have room. */
-    private fun restart(placement: Placement, reason: String) {
+    /** A gang is stopped as a whole; its next run prefers other workers if they have free capacity. */
+    private fun stopStalled(placement: Placement, reason: String) {
         val step = placement.task.step
         if (!step.description.isGang) {
             placement.task.failedOn += placement.worker.id
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/StepAdvice.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/StepAdvice.kt
@@ -1,23 +1,23 @@
-/** What is known of the workers that may run a step. */
+/** Answers of the advice service about one step. */
 package dev.bronzeshore.scheduler
 
 import dev.bronzeshore.core.cluster.AdviceTicket
 import dev.bronzeshore.core.cluster.WorkerLife
 
-/** A ticket and the steady time until which a start may carry it. */
-internal data class HeldTicket(val ticket: String, val validUntilMs: Long)
+/** A ticket and the monotonic time until which a start request may carry it. */
+internal data class CachedTicket(val ticket: String, val validUntilMs: Long)
 
 /**
- * The workers that may run a step do not change; only the tickets that prove it expire.
+ * Tracks which workers may run a step, which does not change, and the tickets that prove it, which expire.
  *
- * A worker that starts again may be of another kind, so both are kept for each life of a worker.
+ * A worker that restarts may be of another kind, so both are kept for each incarnation of a worker.
  */
 internal class StepAdvice {
-    private val tickets = HashMap<WorkerLife, HeldTicket>()
+    private val tickets = HashMap<WorkerLife, CachedTicket>()
     private val asked = HashSet<WorkerLife>()
     var isInFlight: Boolean = false
 
-    /** Not asked again before this steady time, after a call that failed. */
+    /** Monotonic time before which the service is not called again, after a failed call. */
     var notBeforeMs: Long = Long.MIN_VALUE
 
     val isKnown: Boolean get() = asked.isNotEmpty()
@@ -28,17 +28,17 @@
 
     fun ticketFor(life: WorkerLife, nowMs: Long): String? = tickets[life]?.takeIf { it.validUntilMs > nowMs }?.ticket
 
-    /** Takes in an answer, which leaves out the workers that may not run the step. */
+    /** Records an answer, which leaves out the workers that may not run the step. */
     fun record(askedWorkers: List<WorkerLife>, answer: List<AdviceTicket>, validUntilMs: Long) {
         asked += askedWorkers
         val ticketOf = answer.associate { it.workerId to it.ticket }
         for (life in askedWorkers) {
             val ticket = ticketOf[life.workerId]
-            if (ticket == null) tickets.remove(life) else tickets[life] = HeldTicket(ticket, validUntilMs)
+            if (ticket == null) tickets.remove(life) else tickets[life] = CachedTicket(ticket, validUntilMs)
         }
     }
 
-    /** The worker refused the ticket, for instance because it has started again. */
+    /** Expires the ticket after the worker refused it, for instance because the worker has restarted. */
     fun expire(life: WorkerLife) {
         tickets.computeIfPresent(life) { _, held -> held.copy(validUntilMs = Long.MIN_VALUE) }
     }
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/StepOrder.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/StepOrder.kt
@@ -1,12 +1,12 @@
 /**
- * The order in which waiting steps are served.
+ * The order in which the planner goes through the waiting steps.
  *
  * Work that can still end within its objective goes first, by the operators' priority and then by its latest start.
- * Work that cannot earns callers less and comes after it; work that is hopelessly late comes last, but is still done.
+ * Late work is worth less to its caller and follows; work that is too late to be worth anything comes last.
  */
 package dev.bronzeshore.scheduler
 
-/** A job that ends after this many times its objective is worth nothing to its caller. */
+/** A job that takes longer than this many times its objective is worth nothing to its caller. */
 private const val WORTHLESS_AFTER = 3
 
 /** How late a step's job will be if it starts now. */
@@ -16,17 +16,17 @@
 
 internal fun rank(step: TrackedStep, nowMs: Long, startDelayMs: Long): RankedStep {
     val job = step.job
-    val allowanceMs = job.objectiveAtMs - job.acceptedAtMs
+    val objectiveDurationMs = job.objectiveAtMs - job.acceptedAtMs
     val dueMs = job.acceptedAtMs + startDelayMs
-    val objectiveMs = dueMs + allowanceMs
-    val endsMs = nowMs + job.remainingChainMs(step)
+    val objectiveAtMs = dueMs + objectiveDurationMs
+    val endsMs = nowMs + job.remainingCriticalPathMs(step)
     val lateness = when {
         step.description.isService || nowMs < (step.reservedUntilMs ?: Long.MIN_VALUE) -> Lateness.IN_TIME
-        endsMs <= objectiveMs -> Lateness.IN_TIME
-        endsMs <= dueMs + WORTHLESS_AFTER * allowanceMs -> Lateness.LATE
+        endsMs <= objectiveAtMs -> Lateness.IN_TIME
+        endsMs <= dueMs + WORTHLESS_AFTER * objectiveDurationMs -> Lateness.LATE
         else -> Lateness.WORTHLESS
     }
-    return RankedStep(step, lateness, objectiveMs - job.remainingChainMs(step))
+    return RankedStep(step, lateness, objectiveAtMs - job.remainingCriticalPathMs(step))
 }
 
 internal val STEP_ORDER: Comparator<RankedStep> = compareBy<RankedStep> { it.lateness }
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/TableReader.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/TableReader.kt
@@ -11,14 +11,14 @@
 import kotlinx.coroutines.sync.Semaphore
 import kotlinx.coroutines.sync.withPermit
 
-/** Parts read at a time; more only wait for each other on a small machine. */
+/** Partitions read in parallel; more only wait for each other on a small machine. */
 private const val PARALLEL_READS = 8
 
-/** Rows of a table, and a version from which the changes after them can be followed. */
+/** Rows of a table, and the version from which its change feed continues. */
 internal class TableContent(val rows: List<StoredRow>, val version: Long)
 
 internal class TableReader(private val store: ClusterStore) {
-    /** Reads all parts that the table can have; null if a part cannot be read now. */
+    /** Reads all partitions that the table can have; null if one of them cannot be read now. */
     suspend fun readTable(table: String): TableContent? = coroutineScope {
         val slots = Semaphore(PARALLEL_READS)
         val contents = partsOf(table).map { part -> async { slots.withPermit { readPart(table, part) } } }.awaitAll()
@@ -26,7 +26,7 @@
         TableContent(contents.flatMap { it?.rows.orEmpty() }, contents.minOf { it?.version ?: 0 })
     }
 
-    /** Reads one part; the version is that of the first page, so that no later change is missed. */
+    /** Reads one partition; the version is that of the first page, so that no later change is missed. */
     suspend fun readPart(table: String, part: String): TableContent? {
         val rows = ArrayList<StoredRow>()
         var firstVersion: Long? = null
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/TaskStarter.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/TaskStarter.kt
@@ -1,8 +1,8 @@
 /**
- * Sends start orders and settles their outcome.
+ * Sends start requests and handles their results.
  *
- * An order that got no answer is repeated for the same run at the same worker, where a repeat has no second effect.
- * Each order expires after a short time on the worker's clock, so that one which is carried out late is refused.
+ * A request without a response is repeated for the same run on the same worker, where start requests are idempotent.
+ * Each request expires after a short time on the worker's clock, so that a worker refuses one that arrives late.
  */
 package dev.bronzeshore.scheduler
 
@@ -11,21 +11,20 @@
 import dev.bronzeshore.core.cluster.TaskRun
 import kotlinx.coroutines.launch
 
-/** A worker carries out an order within milliseconds; the time covers two lost answers and an error of its clock. */
-private const val START_VALID_MS = 1_000L
-private const val MAX_SENDS = 3
+/** A worker handles a start request within milliseconds; the time covers two lost responses and clock error. */
+private const val START_VALIDITY_MS = 1_000L
+private const val MAX_SEND_ATTEMPTS = 3
 
-/** Pause before a task whose order was refused is placed again. */
+/** Pause before a task whose start was refused is placed again. */
 private const val REFUSED_PAUSE_MS = 150L
 
-/** Nothing is started for this time on a worker that refused an order as unhealthy or full. */
+/** Time for which nothing starts on a worker that refused a start as unhealthy or full. */
 private const val WORKER_PAUSE_MS = 500L
 
-/** A planned start. */
 internal data class PlannedStart(val task: TrackedTask, val worker: TrackedWorker, val run: Long, val ticket: String?)
 
 internal class TaskStarter(private val context: TermContext, private val stopper: RunStopper) {
-    /** Takes the room at once and sends the order. */
+    /** Allocates capacity for the run at once and sends the start request in the background. */
     fun start(planned: PlannedStart) {
         val task = planned.task
         val run = TaskRun(task.name, planned.run)
@@ -40,16 +39,16 @@
 
     private suspend fun send(placement: Placement, ticket: String?) {
         var isUncertain = false
-        repeat(MAX_SENDS) {
+        repeat(MAX_SEND_ATTEMPTS) {
             if (placement.worker.placement(placement.run) !== placement ||
                 placement.state != PlacementState.ORDERED
             ) {
                 return
             }
-            val answer = context.calls.start(placement.worker.entry, orderFor(placement, ticket))
-            if (answer.result != StartResult.UNKNOWN) return settle(placement, answer.result, isUncertain)
+            val answer = context.calls.start(placement.worker.entry, requestFor(placement, ticket))
+            if (answer.result != StartResult.UNKNOWN) return handleResult(placement, answer.result, isUncertain)
             isUncertain = true
-            suspect(placement.worker)
+            probeSuspect(placement.worker)
         }
         context.log.event(
             "start_uncertain",
@@ -61,10 +60,10 @@
         if (placement.task.step.description.isGang) stopGang(placement.task.step, "a member's start got no answer")
     }
 
-    private fun orderFor(placement: Placement, ticket: String?): StartOrder {
+    private fun requestFor(placement: Placement, ticket: String?): StartOrder {
         val worker = placement.worker
-        val validUntil = worker.clock.nowOnWorker(context.clock()) + START_VALID_MS
-        placement.orderSent(validUntil)
+        val validUntil = worker.clock.nowOnWorker(context.clock()) + START_VALIDITY_MS
+        placement.extendValidity(validUntil)
         worker.clock.extendLease(validUntil)
         return StartOrder(
             placement.run,
@@ -76,7 +75,7 @@
         )
     }
 
-    private suspend fun settle(placement: Placement, result: StartResult, isUncertain: Boolean) {
+    private suspend fun handleResult(placement: Placement, result: StartResult, isUncertain: Boolean) {
         context.metrics.start(result.name)
         context.log.event(
             "start",
@@ -85,9 +84,9 @@
             "worker" to placement.worker.id,
             "result" to result,
         )
-        if (result == StartResult.STARTED) return started(placement)
-        react(placement, result)
-        // An earlier order without an answer may have been carried out: a report of the worker settles it.
+        if (result == StartResult.STARTED) return markStarted(placement)
+        handleRefusal(placement, result)
+        // An earlier request without a response may have started the run: the worker's next report tells.
         if (isUncertain || placement.worker.placement(placement.run) !== placement) return
         if (placement.state == PlacementState.STOPPING) return
         placement.worker.remove(placement)
@@ -96,28 +95,28 @@
         context.wakePlanner()
     }
 
-    private fun started(placement: Placement) {
+    private fun markStarted(placement: Placement) {
         placement.task.hasStarted = true
         if (placement.state != PlacementState.ORDERED) return
         placement.state = PlacementState.RUNNING
         placement.confirmedAtMs = context.clock()
     }
 
-    private suspend fun react(placement: Placement, result: StartResult) = when (result) {
+    private suspend fun handleRefusal(placement: Placement, result: StartResult) = when (result) {
         StartResult.FENCED -> context.onLeadershipLost()
         StartResult.BAD_TICKET -> placement.task.step.advice.expire(placement.worker.life)
-        StartResult.UNHEALTHY, StartResult.NO_ROOM -> pause(placement.worker)
-        StartResult.NOT_SENT, StartResult.OTHER_WORKER -> suspect(placement.worker)
+        StartResult.UNHEALTHY, StartResult.NO_ROOM -> pauseWorker(placement.worker)
+        StartResult.NOT_SENT, StartResult.OTHER_WORKER -> probeSuspect(placement.worker)
         else -> Unit
     }
 
-    private fun suspect(worker: TrackedWorker) {
+    private fun probeSuspect(worker: TrackedWorker) {
         if (worker.isSuspect) return
         worker.isSuspect = true
         context.scope.launch { worker.probe() }
     }
 
-    private fun pause(worker: TrackedWorker) {
+    private fun pauseWorker(worker: TrackedWorker) {
         worker.quarantinedUntilMs = maxOf(worker.quarantinedUntilMs, context.clock() + WORKER_PAUSE_MS)
     }
 
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/TermContext.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/TermContext.kt
@@ -1,4 +1,4 @@
-/** What the parts of a leader share during one term. */
+/** State that the components of a leader share during one term. */
 package dev.bronzeshore.scheduler
 
 import dev.bronzeshore.core.ClockMs
@@ -9,45 +9,42 @@
 import dev.bronzeshore.core.cluster.WorkerCalls
 import kotlinx.coroutines.CoroutineScope
 
-/** The leader's sign of life, which the journal writes along with its own rows when it is due. */
+/** The leader's heartbeat, which the progress journal writes along with its own rows when it is due. */
 public class TermRenewal(
-    /** The row to write, or null when the last sign of life is recent. */
-    public val dueBeat: () -> RowWrite?,
-    /** The row was written by a call that was sent at the given steady time. */
-    public val renewed: (sentAtMs: Long) -> Unit,
+    /** The heartbeat row to write, or null if the last heartbeat is recent. */
+    public val dueHeartbeat: () -> RowWrite?,
+    /** Called when the row is stored, with the monotonic time at which the write was sent. */
+    public val recordRenewal: (sentAtMs: Long) -> Unit,
 )
 
-/** State and calls of one term; everything runs on the control thread. */
+/** State and dependencies of one term; confined to the control thread. */
 internal class TermContext(
     val term: Long,
     val termRowVersion: Long,
     val store: ClusterStore,
     val calls: WorkerCalls,
     val bounds: ClusterBounds,
-    /** Steady clock. */
+    /** Monotonic clock. */
     val clock: ClockMs,
-    /** Time of day, for schedules and stored times. */
+    /** Clock for schedules and stored times. */
     val wallClock: ClockMs,
     val scope: CoroutineScope,
     val metrics: SchedulerMetrics,
     val renewal: TermRenewal,
-    /** A fence of a worker or the term row in the store has shown that another process leads. */
+    /** Called when a worker refuses the fencing token or the term row shows that another process leads. */
     val onLeadershipLost: suspend () -> Unit,
 ) {
     val log = EventLog("scheduler")
-    val fleet = Fleet()
-    val book = JobBook()
-    val changes = ChangeLog()
+    val workerPool = WorkerPool()
+    val jobRegistry = JobRegistry()
+    val changes = UnsavedChanges()
 
     /** All changes up to this number are stored. */
-    var savedChange: Long = 0
+    var savedChangeNumber: Long = 0
 
-    /** Wakes the planner. */
     var wakePlanner: () -> Unit = {}
-
-    /** Wakes the journal. */
     var wakeJournal: () -> Unit = {}
 
-    /** Notes a change of a job's progress. */
-    fun noteChange(job: TrackedJob): Long = changes.note(job).also { wakeJournal() }
+    /** Marks the job's progress as changed; returns the number of the change. */
+    fun markChanged(job: TrackedJob): Long = changes.add(job).also { wakeJournal() }
 }
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/TrackedJob.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/TrackedJob.kt
@@ -1,4 +1,4 @@
-/** A job as the leader tracks it. Not thread-safe: all of it belongs to the control thread. */
+/** The leader's state of a job. Not thread-safe: confined to the control thread. */
 package dev.bronzeshore.scheduler
 
 import dev.bronzeshore.core.cluster.AcceptedJob
@@ -8,7 +8,7 @@
 
 internal class TrackedJob(
     val accepted: AcceptedJob,
-    /** Time of the steady clock at which the leader counts the job as accepted. */
+    /** Monotonic time that corresponds to the acceptance of the job. */
     val acceptedAtMs: Long,
 ) {
     val id: String get() = accepted.jobId
@@ -16,7 +16,7 @@
     var phase: JobPhase = JobPhase.PENDING
     var endedAtMs: Long? = null
 
-    /** The phase that callers may see: an end is shown only once it is stored. */
+    /** Last stored phase, which callers may see: an end is shown only once it is stored. */
     var savedPhase: JobPhase = JobPhase.PENDING
 
     /** Steps of all occurrences, in the order of the occurrences. */
@@ -26,14 +26,14 @@
 
     val isOpen: Boolean get() = phase == JobPhase.PENDING || phase == JobPhase.RUNNING
 
-    /** Estimated time of the longest chain of steps, and of what follows each step. */
-    private val chainFromMs: LongArray = chains()
+    /** For each step, the estimated time of the critical path from its start to the end of the job. */
+    private val criticalPathFromMs: LongArray = criticalPaths()
 
-    /** Latest time of the steady clock at which the job ends within its objective. */
-    val objectiveAtMs: Long = acceptedAtMs + (terms.stretch * chainMs).toLong() + terms.graceMs
+    /** Latest monotonic time at which the job ends within its objective. */
+    val objectiveAtMs: Long = acceptedAtMs + (terms.stretch * criticalPathMs).toLong() + terms.graceMs
 
-    /** The whole chain including one call for advice for each step. */
-    private val chainMs: Long get() = chainFromMs.max()
+    /** The critical path of the whole job, with one advice call for each step. */
+    private val criticalPathMs: Long get() = criticalPathFromMs.max()
 
     fun step(occurrence: Int, number: Int): TrackedStep? = if (number in accepted.description.steps.indices) {
         steps.getOrNull(occurrence * accepted.description.steps.size + number)
@@ -44,11 +44,11 @@
     fun task(name: TaskName): TrackedTask? = step(name.occurrence, name.step)?.tasks?.getOrNull(name.index)
 
     /** Estimated time from the start of a step to the end of the job. */
-    fun remainingChainMs(step: TrackedStep): Long = chainFromMs[step.number]
+    fun remainingCriticalPathMs(step: TrackedStep): Long = criticalPathFromMs[step.number]
 
     fun toProgress(): JobProgress = JobProgress(phase, steps.mapNotNull { it.toProgress() }, endedAtMs)
 
-    /** Takes over what was stored by a former leader. */
+    /** Restores what a former leader stored. */
     fun restore(progress: JobProgress) {
         phase = progress.phase
         savedPhase = progress.phase
@@ -56,7 +56,7 @@
         for (stored in progress.steps) step(stored.occurrence, stored.step)?.restore(stored)
     }
 
-    private fun chains(): LongArray {
+    private fun criticalPaths(): LongArray {
         val description = accepted.description.steps
         val advice = terms.advice
         val result = LongArray(description.size)
@@ -70,7 +70,7 @@
     }
 
     private companion object {
-        /** The platform's objective counts one call for advice on this many workers a step. */
+        /** The platform's objective includes one advice call about this many workers for each step. */
         const val ADVICE_WORKERS_IN_OBJECTIVE = 30
     }
 }
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/TrackedStep.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/TrackedStep.kt
@@ -1,4 +1,4 @@
-/** One step of a job in one occurrence. */
+/** State of one step of a job in one occurrence of its schedule. */
 package dev.bronzeshore.scheduler
 
 import dev.bronzeshore.core.cluster.StepDescription
@@ -14,11 +14,11 @@
     /** Runs of the gang in which a member failed. */
     private val failedGangRuns = HashSet<Long>()
 
-    /** Until this steady time a gang that is waiting for room keeps its place before work that comes later. */
+    /** Monotonic time until which a gang that waits for capacity keeps its rank even if it is late. */
     var reservedUntilMs: Long? = null
         private set
 
-    /** The gang begins to collect room; the reservation is not renewed, so that it cannot hold others up for ever. */
+    /** Starts the reservation of a gang; it is not renewed, so that the gang cannot block other work for ever. */
     fun reserve(untilMs: Long) {
         if (reservedUntilMs == null) reservedUntilMs = untilMs
     }
@@ -26,17 +26,17 @@
     val isDone: Boolean get() = tasks.all { it.isDone }
     val hasStarted: Boolean get() = tasks.any { it.hasStarted }
 
-    /** The steps that must be done first are done. */
+    /** All steps that must precede this one are done. */
     val isUnblocked: Boolean get() = description.after.all { job.step(occurrence, it)?.isDone == true }
 
-    /** Tasks that need a worker; a gang starts as a whole, after all of its former run has ended. */
+    /** Tasks that need a worker; a gang starts as a whole, after all members of its previous run have ended. */
     val pendingTasks: List<TrackedTask>
         get() = when {
             description.isGang && tasks.any { it.placement != null } -> emptyList()
             else -> tasks.filter { !it.isDone && it.placement == null }
         }
 
-    /** Time of day at which the step is due, or null when it is due at once. */
+    /** Wall-clock time at which the step is due, or null if it is due at once. */
     val dueAtMs: Long?
         get() = job.accepted.description.schedule?.let { it.firstDueMs + occurrence * it.periodMs }
 
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/TrackedWorker.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/TrackedWorker.kt
@@ -1,4 +1,4 @@
-/** One life of a worker: what it holds, what it has said, and until when its runs may live without the leader. */
+/** One incarnation of a worker: its runs, the ends that it reported, and whether tasks may start on it. */
 package dev.bronzeshore.scheduler
 
 import dev.bronzeshore.core.Resources
@@ -6,7 +6,7 @@
 import dev.bronzeshore.core.cluster.WorkerEntry
 import dev.bronzeshore.core.cluster.WorkerLife
 
-/** An end that waits until the progress of its job is stored. */
+/** A reported end that is not acknowledged before the progress of its job is stored. */
 internal data class UnsavedEnd(val number: Long, val changeNumber: Long)
 
 internal class TrackedWorker(var entry: WorkerEntry) {
@@ -14,44 +14,44 @@
     val id: String get() = life.workerId
     val clock = WorkerClock()
 
-    /** Runs that the leader ordered or adopted. */
+    /** Runs that this leader started or adopted. */
     private val placed = LinkedHashMap<TaskRun, Placement>()
 
-    /** Runs found on the worker that must not be there, with the room that they take. */
+    /** Runs that the worker reports but must not have, with the capacity that they take. */
     private val strays = HashMap<TaskRun, Resources>()
     private var used = Resources.NONE
 
-    /** The worker has reported to this leader, so no order of a former leader can reach it any more. */
+    /** The worker has reported to this leader, so its fencing token rejects requests of former leaders. */
     var isContacted: Boolean = false
     var isListed: Boolean = true
     var isReachable: Boolean = true
         private set
 
-    /** Jobs whose tasks may run here while the worker does not answer; null while it does. */
+    /** Jobs whose tasks may run here while the worker is unreachable; null while it is reachable. */
     var heldJobs: Set<String>? = null
         private set
 
-    /** An order got no answer; nothing more starts here until the worker has been looked at. */
+    /** A request got no response or was not delivered; nothing more starts here until the worker has been probed. */
     var isSuspect: Boolean = false
 
-    /** Looks at the worker at once. */
+    /** Requests a report at once. */
     var probe: suspend () -> Unit = {}
 
-    /** The life has ended for certain: what ran there does not run any more. */
+    /** The incarnation has certainly ended, and its runs with it. */
     var isGone: Boolean = false
 
-    /** The roster in the store names this life; no task starts on a worker that a new leader would not ask. */
+    /** The stored roster names this incarnation; no task starts on a worker that a new leader would not query. */
     var isOnRoster: Boolean = false
     var quarantinedUntilMs: Long = Long.MIN_VALUE
 
     /** Jobs whose tasks failed here since the last success. */
     val failedJobs = HashSet<String>()
-    val speed = WorkerSpeed()
+    val speed = WorkerSpeedEstimate()
     var lastEndNumber: Long = 0
     val unsavedEnds = ArrayDeque<UnsavedEnd>()
     var acknowledgedEnd: Long = 0
 
-    /** The worker has answered: tasks start again once the roster says that any job may be here. */
+    /** Tasks start again once the stored roster says that any job may run here. */
     fun markReachable() {
         if (isReachable) return
         isReachable = true
@@ -59,7 +59,7 @@
         isOnRoster = false
     }
 
-    /** The worker does not answer: nothing more starts here. */
+    /** Nothing starts here until the worker answers again; [heldJobs] goes into the stored roster. */
     fun markUnreachable() {
         if (!isReachable) return
         isReachable = false
@@ -74,16 +74,16 @@
 
     fun add(placement: Placement) {
         placed[placement.run] = placement
-        used += roomOf(placement)
+        used += demandOf(placement)
     }
 
     fun remove(placement: Placement) {
-        if (placed.remove(placement.run) != null) used -= roomOf(placement)
+        if (placed.remove(placement.run) != null) used -= demandOf(placement)
         if (placement.task.placement === placement) placement.task.placement = null
     }
 
-    fun addStray(run: TaskRun, room: Resources) {
-        if (strays.put(run, room) == null) used += room
+    fun addStray(run: TaskRun, demand: Resources) {
+        if (strays.put(run, demand) == null) used += demand
     }
 
     fun removeStray(run: TaskRun) {
@@ -99,16 +99,16 @@
         !entry.isDraining &&
         quarantinedUntilMs <= nowMs
 
-    /** Time from which ends up to a number may be acknowledged: everything before [savedChange] is stored. */
-    fun acknowledge(savedChange: Long) {
-        while (unsavedEnds.isNotEmpty() && unsavedEnds.first().changeNumber <= savedChange) {
+    /** Advances [acknowledgedEnd] over the ends whose changes are stored, which are those up to [savedChangeNumber]. */
+    fun acknowledge(savedChangeNumber: Long) {
+        while (unsavedEnds.isNotEmpty() && unsavedEnds.first().changeNumber <= savedChangeNumber) {
             acknowledgedEnd = unsavedEnds.removeFirst().number
         }
     }
 
-    private fun roomOf(placement: Placement) = placement.task.step.room
+    private fun demandOf(placement: Placement) = placement.task.step.taskDemand
 }
 
-/** Room that one task of the step takes; tasks that use idle processors take memory only. */
-internal val TrackedStep.room: Resources
+/** Resources that one task of the step takes; tasks that use idle processors take no processor share. */
+internal val TrackedStep.taskDemand: Resources
     get() = if (description.usesIdleProcessors) description.size.copy(processorsMillicores = 0) else description.size
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/WorkerClock.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/WorkerClock.kt
@@ -1,9 +1,9 @@
-/** An estimate of a worker's clock, which may run up to 2% slow. */
+/** Estimates a worker's clock, which may run up to 2% slow, and tracks when its leases expire. */
 package dev.bronzeshore.scheduler
 
 import kotlin.math.max
 
-/** Slowest rate of a worker's clock. */
+/** Slowest rate of a worker's clock, relative to the leader's. */
 private const val SLOWEST_RATE = 0.98
 
 internal class WorkerClock {
@@ -19,10 +19,10 @@
         isKnown = true
     }
 
-    /** The worker's clock if it runs at the normal rate. */
+    /** The time of the worker's clock if it runs at the normal rate. */
     fun nowOnWorker(nowMs: Long): Long = workerMs + (nowMs - readAtMs)
 
-    /** Notes that an order has extended the leases on the worker; leases never get shorter. */
+    /** Records that a request extends the leases on the worker; leases never get shorter. */
     fun extendLease(untilWorkerMs: Long) {
         leaseUntilWorkerMs = max(leaseUntilWorkerMs, untilWorkerMs)
     }
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/Fleet.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/WorkerPool.kt
@@ -1,4 +1,4 @@
-/** All workers that the leader knows, by life. Not thread-safe. */
+/** The workers that the leader knows, by incarnation. Not thread-safe. */
 package dev.bronzeshore.scheduler
 
 import dev.bronzeshore.core.cluster.TaskName
@@ -6,8 +6,8 @@
 import dev.bronzeshore.core.cluster.WorkerEntry
 import dev.bronzeshore.core.cluster.WorkerLife
 
-internal class Fleet {
-    val speeds = SpeedBook()
+internal class WorkerPool {
+    val speeds = SpeedEstimator()
     private val byLife = LinkedHashMap<WorkerLife, TrackedWorker>()
 
     val workers: Collection<TrackedWorker> get() = byLife.values
@@ -20,12 +20,12 @@
         byLife.remove(worker.life)
     }
 
-    fun livesOf(workerId: String): List<TrackedWorker> = byLife.values.filter { it.id == workerId }
+    fun incarnationsOf(workerId: String): List<TrackedWorker> = byLife.values.filter { it.id == workerId }
 
-    /** Tasks with a run on some worker that is to be stopped: another run must wait for its end. */
+    /** Tasks with a stray run on some worker: their next run waits until that one has ended. */
     fun tasksWithStrayRuns(): Set<TaskName> = byLife.values.flatMapTo(HashSet()) { it.strayRuns.map(TaskRun::task) }
 
-    /** Workers of a service that take new tasks now. */
+    /** Workers of a service that accept new tasks now. */
     fun accepting(service: String, nowMs: Long): List<TrackedWorker> =
         byLife.values.filter { it.entry.service == service && it.accepts(nowMs) }
 }
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/WorkerRegistry.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/WorkerRegistry.kt
@@ -1,4 +1,4 @@
-/** Follows which workers exist, runs a session with each, and ends those that are lost. */
+/** Tracks which workers exist, runs a session with each, and removes those that are lost. */
 package dev.bronzeshore.scheduler
 
 import dev.bronzeshore.core.Resources
@@ -8,50 +8,50 @@
 import dev.bronzeshore.core.cluster.WorkerLife
 import kotlinx.coroutines.launch
 
-/** Error of the clocks and of the way of an order, added to the time after which a lease is over. */
+/** Margin for clock error and for the transit of a request, added to the time after which a lease has expired. */
 private const val LEASE_MARGIN_MS = 300L
 
-/** Slowest rate of a worker's clock, as a factor on the time that its leases can last. */
+/** A worker's clock may run slow, so that its leases last longer by up to this factor. */
 private const val SLOW_CLOCK_FACTOR = 1.03
 
 internal class WorkerRegistry(
     private val context: TermContext,
     private val reports: ReportHandler,
     private val lifecycle: JobLifecycle,
-    private val jobs: JobLookup,
+    private val jobLookup: JobLookup,
 ) {
     private val startedAtMs = context.clock()
 
-    /** Leases that a former leader granted are over after this steady time. */
+    /** Monotonic time after which all leases that a former leader granted have expired. */
     private val formerLeasesUntilMs =
         startedAtMs + (context.bounds.maxLeaseMs * SLOW_CLOCK_FACTOR).toLong() + context.bounds.stopGraceMs +
             LEASE_MARGIN_MS
 
-    /** Former workers and the jobs that may run there; null stands for any job. */
+    /** Workers that a former leader may have used, with the jobs that may run there; null stands for any job. */
     private val formerWorkers = HashMap<TrackedWorker, Set<String>?>()
 
-    private val unseenWorkers: List<TrackedWorker>
+    private val unreportedWorkers: List<TrackedWorker>
         get() = if (context.clock() >= formerLeasesUntilMs) {
             emptyList()
         } else {
             formerWorkers.keys.filter { !it.isContacted && !it.isGone }
         }
 
-    /** Workers on which runs of a former leader may exist that this leader has not seen. */
-    val hasUnknownRuns: Boolean get() = unseenWorkers.isNotEmpty()
+    /** True while runs that a former leader started may exist on workers that have not reported yet. */
+    val hasUnknownRuns: Boolean get() = unreportedWorkers.isNotEmpty()
 
-    /** True if such a run may be one of the job's. */
+    /** True if such a run may belong to the job. */
     fun mayHaveUnknownRuns(jobId: String): Boolean =
-        unseenWorkers.any { worker -> formerWorkers[worker]?.contains(jobId) ?: true }
+        unreportedWorkers.any { worker -> formerWorkers[worker]?.contains(jobId) ?: true }
 
     /** Adds a worker on which a former leader may have started tasks. */
     fun addFormer(worker: RosterWorker) {
         val life = WorkerLife(worker.workerId, worker.startedAtMs)
-        context.fleet.find(life)?.let { known ->
+        context.workerPool.find(life)?.let { known ->
             formerWorkers[known] = worker.heldJobs
             return
         }
-        if (context.fleet.livesOf(life.workerId).any { it.life.startedAtMs > life.startedAtMs }) return
+        if (context.workerPool.incarnationsOf(life.workerId).any { it.life.startedAtMs > life.startedAtMs }) return
         val entry = WorkerEntry(
             life,
             worker.service,
@@ -68,23 +68,21 @@
         }
     }
 
-    /** Adds the workers that were listed when the term began; a former leader may have used each of them. */
+    /** Adds a worker that was listed when the term began; a former leader may have started any job on it. */
     fun addListed(change: WorkerChange) {
         apply(change)
-        change.entry?.let { context.fleet.find(it.life) }?.let { formerWorkers[it] = null }
+        change.entry?.let { context.workerPool.find(it.life) }?.let { formerWorkers[it] = null }
     }
 
     fun apply(change: WorkerChange) {
         val entry = change.entry
-        if (entry == null) return context.fleet.livesOf(change.workerId).forEach { unlist(it) }
-        for (older in context.fleet.livesOf(change.workerId)) {
+        if (entry == null) return context.workerPool.incarnationsOf(change.workerId).forEach { unlist(it) }
+        for (older in context.workerPool.incarnationsOf(change.workerId)) {
             if (older.life.startedAtMs > entry.life.startedAtMs) return
-            if (older.life.startedAtMs < entry.life.startedAtMs) end(older, "the worker has started again")
+            if (older.life.startedAtMs < entry.life.startedAtMs) markGone(older, "the worker has restarted")
         }
-        val known = context.fleet.find(entry.life) ?: return add(entry).let { }
-        if (known.entry.isDraining !=
-            entry.isDraining
-        ) {
+        val known = context.workerPool.find(entry.life) ?: return add(entry).let { }
+        if (known.entry.isDraining != entry.isDraining) {
             context.log.event("worker_draining", "worker" to known.id, "draining" to entry.isDraining)
         }
         known.entry = entry
@@ -93,38 +91,38 @@
     }
 
     private fun add(entry: WorkerEntry): TrackedWorker {
-        val worker = context.fleet.add(entry)
+        val worker = context.workerPool.add(entry)
         context.log.event(
             "worker_added",
             "worker" to worker.id,
             "started_at_ms" to worker.life.startedAtMs,
             "address" to entry.address,
         )
-        val session = WorkerSession(context, worker, reports, jobs, ::reborn)
+        val session = WorkerSession(context, worker, reports, jobLookup, ::handleRestart)
         worker.probe = session::probe
         context.scope.launch { session.run() }
         context.wakeJournal()
         return worker
     }
 
-    /** A draining worker that is no longer listed has left; another one may still run what it holds. */
+    /** A draining worker that is no longer listed has left; any other unlisted worker may still run its tasks. */
     private fun unlist(worker: TrackedWorker) {
         worker.isListed = false
         context.log.event("worker_unlisted", "worker" to worker.id, "draining" to worker.entry.isDraining)
-        if (worker.entry.isDraining) end(worker, "the worker has left")
+        if (worker.entry.isDraining) markGone(worker, "the worker has left")
     }
 
-    private fun reborn(worker: TrackedWorker, startedAtMs: Long) {
+    private fun handleRestart(worker: TrackedWorker, startedAtMs: Long) {
         if (worker.isGone) return
         val entry = worker.entry.copy(life = WorkerLife(worker.id, startedAtMs), isDraining = false)
-        end(worker, "the worker says that it has started again")
-        if (context.fleet.find(entry.life) == null) add(entry)
+        markGone(worker, "the worker reported a later start time")
+        if (context.workerPool.find(entry.life) == null) add(entry)
     }
 
-    /** Ends workers whose leases are certainly over and that do not answer. */
+    /** Gives up the runs on unreachable workers whose leases have certainly expired, and removes unlisted workers. */
     fun expireLeases() {
         val now = context.clock()
-        for (worker in context.fleet.workers.toList().filter { !it.isReachable || !it.isContacted }) {
+        for (worker in context.workerPool.workers.toList().filter { !it.isReachable || !it.isContacted }) {
             val isOver = if (worker.isContacted) {
                 worker.clock.isLeaseOver(now - context.bounds.stopGraceMs - LEASE_MARGIN_MS)
             } else {
@@ -132,18 +130,18 @@
             }
             if (!isOver) continue
             worker.placements.toList().forEach {
-                lifecycle.lost(it, "its lease is over and its worker does not answer")
+                lifecycle.lost(it, "its lease has expired and its worker does not answer")
             }
             worker.strayRuns.toList().forEach { worker.removeStray(it) }
-            if (!worker.isListed) end(worker, "the worker is not listed and does not answer")
+            if (!worker.isListed) markGone(worker, "the worker is not listed and does not answer")
         }
     }
 
-    private fun end(worker: TrackedWorker, reason: String) {
+    private fun markGone(worker: TrackedWorker, reason: String) {
         worker.isGone = true
         context.log.event("worker_gone", "worker" to worker.id, "reason" to reason, "runs" to worker.placements.size)
         worker.placements.toList().forEach { lifecycle.lost(it, reason) }
-        context.fleet.remove(worker)
+        context.workerPool.remove(worker)
         context.wakeJournal()
         context.wakePlanner()
     }
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/WorkerSession.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/WorkerSession.kt
@@ -1,8 +1,8 @@
 /**
- * Keeps one worker's leases alive and takes in its reports.
+ * Renews the leases of one worker and receives its reports by long polling.
  *
- * Until the worker has answered this leader, orders of a former leader may reach it; afterwards its fence refuses them.
- * Leases are granted for the longest time that the worker allows, so that runs outlive a change of the leader.
+ * Until the worker has answered this leader, it may accept requests of a former leader; afterwards the fencing token
+ * rejects them. Leases are granted for the longest time allowed, so that runs survive a change of the leader.
  */
 package dev.bronzeshore.scheduler
 
@@ -10,37 +10,38 @@
 import dev.bronzeshore.core.cluster.HoldOrder
 import kotlinx.coroutines.delay
 
-/** Longest wait for an end; a longer one would notice stalled tasks and lost workers later. */
-private const val LOOK_WAIT_MS = 1_500L
+/** Time for which a poll waits for an end; with a longer one, stalled tasks and lost workers are noticed later. */
+private const val POLL_WAIT_MS = 1_500L
 
-/** Wait of a look at a worker that lists ends which cannot be acknowledged yet: such a look returns at once. */
-private const val UNSAVED_PAUSE_MS = 60L
+/** Pause between polls while reported ends cannot be acknowledged yet, as such polls do not wait. */
+private const val UNSAVED_END_PAUSE_MS = 60L
 
-/** Pause before a worker that named an unknown job is asked again; the store may not have answered. */
+/** Pause before a worker that reported an unknown job is polled again; the read of the job may have failed. */
 private const val LOOKUP_PAUSE_MS = 20L
 
-/** Pause before an unreachable worker is tried again. */
 private const val RETRY_MS = 150L
 
-/** A worker that answers one look in time is reachable again. */
-private const val UNREACHABLE_AFTER = 1
+/** Failed polls in a row after which a worker is unreachable; one response makes it reachable again. */
+private const val FAILURES_UNTIL_UNREACHABLE = 1
 
 internal class WorkerSession(
     private val context: TermContext,
     private val worker: TrackedWorker,
     private val reports: ReportHandler,
-    private val jobs: JobLookup,
-    /** Called when the worker names a later start than the one that the leader knows. */
-    private val onReborn: (TrackedWorker, startedAtMs: Long) -> Unit,
+    private val jobLookup: JobLookup,
+    /** Called when the worker reports a later start time than the one that the leader knows. */
+    private val onRestart: (TrackedWorker, startedAtMs: Long) -> Unit,
 ) {
     private var failures = 0
 
-    /** Looks at once, beside the look that may be waiting for an end; an order to the worker got no answer. */
+    /** Polls at once, in parallel to a poll that may be waiting; used when a request to the worker failed. */
     suspend fun probe() {
         val requestedAtMs = context.clock()
         context.metrics.workerPoll()
-        when (val answer = context.calls.hold(worker.entry, orderAt(requestedAtMs).copy(waitMs = 0))) {
-            is HoldAnswer.Report -> if (answer.startedAtMs == worker.life.startedAtMs && jobs.knowsJobsOf(answer)) {
+        when (val answer = context.calls.hold(worker.entry, holdRequestAt(requestedAtMs).copy(waitMs = 0))) {
+            is HoldAnswer.Report -> if (answer.startedAtMs == worker.life.startedAtMs &&
+                jobLookup.ensureJobsKnown(answer)
+            ) {
                 reports.handle(worker, answer, requestedAtMs)
             }
 
@@ -50,13 +51,13 @@
         context.wakePlanner()
     }
 
-    /** Runs until the worker's life has ended. */
+    /** Polls until the worker's incarnation has ended. */
     suspend fun run() {
         while (!worker.isGone) {
             val requestedAtMs = context.clock()
             context.metrics.workerPoll()
-            when (val answer = context.calls.hold(worker.entry, orderAt(requestedAtMs))) {
-                is HoldAnswer.Report -> takeReport(answer, requestedAtMs)
+            when (val answer = context.calls.hold(worker.entry, holdRequestAt(requestedAtMs))) {
+                is HoldAnswer.Report -> handleReport(answer, requestedAtMs)
 
                 is HoldAnswer.Fenced -> {
                     context.log.event("fenced", "worker" to worker.id, "term" to context.term)
@@ -64,38 +65,38 @@
                     delay(RETRY_MS)
                 }
 
-                is HoldAnswer.OtherWorker -> unreachable("another worker uses its address")
+                is HoldAnswer.OtherWorker -> handleFailure("another worker uses its address")
 
-                is HoldAnswer.Unreachable -> unreachable(answer.reason)
+                is HoldAnswer.Unreachable -> handleFailure(answer.reason)
             }
         }
     }
 
-    private fun orderAt(now: Long): HoldOrder {
-        worker.acknowledge(context.savedChange)
-        // A look that may get no answer grants no lease: otherwise the leases of a lost worker would never be over.
+    private fun holdRequestAt(now: Long): HoldOrder {
+        worker.acknowledge(context.savedChangeNumber)
+        // A poll of an unreachable worker grants no lease: otherwise the leases of a lost worker would never expire.
         val isGranted = worker.clock.isKnown && worker.isReachable
         val leaseUntil = if (isGranted) worker.clock.nowOnWorker(now) + context.bounds.maxLeaseMs else null
         leaseUntil?.let { worker.clock.extendLease(it) }
-        val waitMs = if (worker.isContacted && worker.unsavedEnds.isEmpty()) LOOK_WAIT_MS else 0
+        val waitMs = if (worker.isContacted && worker.unsavedEnds.isEmpty()) POLL_WAIT_MS else 0
         return HoldOrder(context.term, worker.acknowledgedEnd, leaseUntil, waitMs)
     }
 
-    private suspend fun takeReport(report: HoldAnswer.Report, requestedAtMs: Long) {
+    private suspend fun handleReport(report: HoldAnswer.Report, requestedAtMs: Long) {
         val startedAtMs = report.startedAtMs
         if (startedAtMs != null && worker.life.startedAtMs != 0L && startedAtMs != worker.life.startedAtMs) {
-            if (startedAtMs > worker.life.startedAtMs) onReborn(worker, startedAtMs)
+            if (startedAtMs > worker.life.startedAtMs) onRestart(worker, startedAtMs)
             return delay(RETRY_MS)
         }
         failures = 0
-        if (!jobs.knowsJobsOf(report)) return delay(LOOKUP_PAUSE_MS)
+        if (!jobLookup.ensureJobsKnown(report)) return delay(LOOKUP_PAUSE_MS)
         reports.handle(worker, report, requestedAtMs)
-        if (worker.unsavedEnds.isNotEmpty()) delay(UNSAVED_PAUSE_MS)
+        if (worker.unsavedEnds.isNotEmpty()) delay(UNSAVED_END_PAUSE_MS)
     }
 
-    private suspend fun unreachable(reason: String) {
+    private suspend fun handleFailure(reason: String) {
         failures++
-        if (failures == UNREACHABLE_AFTER) {
+        if (failures == FAILURES_UNTIL_UNREACHABLE) {
             worker.markUnreachable()
             context.wakeJournal()
             context.log.event("worker_unreachable", "worker" to worker.id, "reason" to reason)
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/WorkerSpeed.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/WorkerSpeedEstimate.kt
@@ -1,10 +1,10 @@
-/** How much longer tasks take on a worker than on others, learned from their progress. */
+/** Estimate of how much longer tasks take on a worker than on others, learned from run times and progress. */
 package dev.bronzeshore.scheduler
 
-/** Smallest weight of a new observation; about seven observations then outweigh the past. */
+/** Smallest weight of a new observation, at which about seven observations outweigh the earlier ones. */
 private const val MIN_WEIGHT = 0.15
 
-internal class WorkerSpeed {
+internal class WorkerSpeedEstimate {
     private var observations = 0
 
     /** Logarithm of the run time relative to other workers; 0 before the first observation. */
@@ -18,7 +18,7 @@
         logSlowness += maxOf(MIN_WEIGHT, 1.0 / (1 + observations)) * error
     }
 
-    /** Takes over what a former leader has learned. */
+    /** Restores what a former leader has learned. */
     fun restore(stored: Double) {
         if (isKnown) return
         logSlowness = stored
--- a/scheduler/src/test/kotlin/dev/bronzeshore/scheduler/PlannerPartsTest.kt
+++ b/scheduler/src/test/kotlin/dev/bronzeshore/scheduler/PlannerPartsTest.kt
@@ -1,4 +1,4 @@
-/** Small parts of the scheduler, each with a table of cases. */
+/** Tests of the small components of the scheduler. */
 package dev.bronzeshore.scheduler
 
 import dev.bronzeshore.core.Resources
@@ -37,15 +37,15 @@
         WorkerEntry(WorkerLife(id, 1), SERVICE, "$id:1", "dc", false, WORKER_CAPACITY, emptySet(), null),
     )
 
-    /** Guards against late work that delays work which can still end in time. */
+    /** Guards against late work that is ranked before work which can still end in time. */
     @ParameterizedTest
     @CsvSource("0, IN_TIME", "1400, IN_TIME", "1600, LATE", "6400, LATE", "6600, WORTHLESS")
-    internal fun `ranks by lateness`(nowMs: Long, expected: Lateness) {
-        // The objective is 2 x 1,000 ms + 500 ms; a start after 1,500 ms is too late for it.
+    internal fun `rank depends on lateness`(nowMs: Long, expected: Lateness) {
+        // The objective is 2 x 1,000 ms + 500 ms, so the latest start is at 1,500 ms.
         assertEquals(expected, rank(job("a", 1, 1_000, 0).steps.first(), nowMs, 0).lateness)
     }
 
-    /** Guards against an order that puts priority before what can still be done in time, or ignores it. */
+    /** Guards against an order that puts priority before lateness, or ignores priority. */
     @Test
     fun `orders by lateness, priority and latest start`() {
         val urgent = rank(job("urgent", 0, 1_000, 0).steps.first(), 1_000, 0)
@@ -56,33 +56,33 @@
         assertEquals(listOf("urgent", "patient", "later", "late"), order)
     }
 
-    /** Guards against room that is counted in one dimension only. */
+    /** Guards against a fit that checks only one resource. */
     @ParameterizedTest
     @CsvSource("4, 8, 4", "4, 16, 2", "20, 1, 0", "0, 8, 4", "0, 0, 2147483647")
-    fun `counts what fits`(cores: Long, memory: Long, expected: Int) {
+    fun `countIn takes the scarcest resource`(cores: Long, memory: Long, expected: Int) {
         assertEquals(expected, Resources(cores, memory).countIn(Resources(16, 32)))
     }
 
-    /** Guards against a lease that is taken for over while a slow clock of the worker still grants it. */
+    /** Guards against a lease that counts as expired although the slow clock of the worker has not reached its end. */
     @ParameterizedTest
     @CsvSource("5900, false", "6050, false", "6130, true")
-    fun `waits for leases on slow clocks`(elapsedMs: Long, isOver: Boolean) {
+    fun `a lease expires later on a slow clock`(elapsedMs: Long, isOver: Boolean) {
         val clock = WorkerClock()
         clock.observe(workerClockMs = 1_000, nowMs = 50_000)
         clock.extendLease(7_000)
         assertEquals(isOver, clock.isLeaseOver(50_000 + elapsedMs))
     }
 
-    /** Guards against slow workers that look normal because a queue mostly runs on them. */
+    /** Guards against slow workers that seem normal because they run most of the jobs of a queue. */
     @Test
-    fun `tells slow workers from queues with low estimates`() {
-        val book = SpeedBook()
+    fun `slow workers are told from queues with low estimates`() {
+        val estimator = SpeedEstimator()
         val slow = worker("slow")
         val fast = worker("fast")
         val random = Random(7)
         repeat(400) {
             val noise = exp(random.nextDouble(-0.2, 0.2))
-            book.observe(
+            estimator.observe(
                 "patient",
                 if (random.nextInt(4) >
                     0
@@ -93,11 +93,11 @@
                 },
                 noise * if (random.nextBoolean()) 3.0 else 3.0,
             )
-            book.observe("urgent", slow, noise * 2.0)
-            book.observe("urgent", fast, noise * 0.7)
+            estimator.observe("urgent", slow, noise * 2.0)
+            estimator.observe("urgent", fast, noise * 0.7)
         }
-        assertTrue(book.slownessOf(slow) > 1.5 * book.slownessOf(fast))
-        assertTrue(abs(book.slownessOf(fast)) < 1.0)
+        assertTrue(estimator.slownessOf(slow) > 1.5 * estimator.slownessOf(fast))
+        assertTrue(abs(estimator.slownessOf(fast)) < 1.0)
     }
 
     private val lifeA = WorkerLife("a", 1)
@@ -105,7 +105,7 @@
 
     /** Guards against a ticket that is used after its validity or after the worker refused it. */
     @Test
-    fun `tickets expire but the choice of workers stays`() {
+    fun `tickets expire but the allowed workers stay`() {
         val advice = StepAdvice()
         advice.record(listOf(lifeA, lifeB), listOf(AdviceTicket("a", "t")), validUntilMs = 100)
         assertEquals("t", advice.ticketFor(lifeA, 99))
@@ -116,9 +116,12 @@
         assertNull(advice.ticketFor(lifeA, 0))
     }
 
-    /** Guards against a task that waits for ever for a ticket of a worker that came back as another kind (LOST). */
+    /**
+     * Guards against a task that is lost because it waits for ever for a ticket of a worker that restarted as another
+     * kind.
+     */
     @Test
-    fun `a worker that starts again is asked for anew`() {
+    fun `advice is requested again for a restarted worker`() {
         val advice = StepAdvice()
         advice.record(listOf(lifeA), listOf(AdviceTicket("a", "t")), validUntilMs = 100)
         val secondLife = WorkerLife("a", 2)
@@ -129,7 +132,7 @@
         assertFalse(advice.mayRunOn(secondLife))
     }
 
-    /** Guards against a task that stays planned on a worker that a later answer leaves out. */
+    /** Guards against a task that starts on a worker that a later answer leaves out. */
     @Test
     fun `a later answer replaces an earlier one`() {
         val advice = StepAdvice()
@@ -141,27 +144,27 @@
     /** Guards against ends that are acknowledged before the progress that they change is stored. */
     @Test
     fun `a batch covers only changes before the next unsaved job`() {
-        val changes = ChangeLog()
+        val changes = UnsavedChanges()
         val first = job("1", 1, 100, 0)
         val second = job("2", 1, 100, 0)
-        changes.note(first)
-        changes.note(second)
-        changes.note(first)
+        changes.add(first)
+        changes.add(second)
+        changes.add(first)
         val batch = changes.takeBatch(limit = 1)
         assertEquals(listOf(first), batch.jobs)
         assertEquals(1, batch.savedUpTo)
-        changes.putBack(batch)
+        changes.requeue(batch)
         assertEquals(listOf(first, second), changes.takeBatch(limit = 2).jobs)
     }
 
-    /** Guards against a late start order, not sent yet, that a report takes for lost. */
+    /** Guards against a run that is taken for lost, because a report lacks it, before its start request is sent. */
     @Test
-    fun `an order that is not sent yet is valid without end`() {
+    fun `validity is unbounded until a start request is sent`() {
         val task = job("1", 1, 100, 0).steps.first().tasks.first()
         val placement = Placement(task, worker("w"), TaskRun(task.name, 1), 0)
         assertEquals(Long.MAX_VALUE, placement.validUntilWorkerMs)
-        placement.orderSent(500)
-        placement.orderSent(400)
+        placement.extendValidity(500)
+        placement.extendValidity(400)
         assertEquals(500, placement.validUntilWorkerMs)
     }
 }
