--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/FreeCapacity.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/FreeCapacity.kt
@@ -4,13 +4,13 @@
 import dev.bronzeshore.core.Resources
 
 internal class FreeCapacity {
-    private val reserved = HashMap<TrackedWorker, Resources>()
+    private val taken = HashMap<TrackedWorker, Resources>()
 
-    fun free(worker: TrackedWorker): Resources = reserved[worker]?.let { worker.free - it } ?: worker.free
+    fun free(worker: TrackedWorker): Resources = taken[worker]?.let { worker.free - it } ?: worker.free
 
     /** Reserves capacity on [worker] against the steps that are planned later. */
     fun reserve(worker: TrackedWorker, demand: Resources) {
-        reserved[worker] = reserved[worker]?.plus(demand) ?: demand
+        taken[worker] = taken[worker]?.plus(demand) ?: demand
     }
 
     /** How many tasks with the given demand fit into the free capacity. */
@@ -24,8 +24,8 @@
     timesIn(accelerators, available.accelerators),
 )
 
-private fun timesIn(demand: Long, available: Long): Int = when {
+private fun timesIn(need: Long, available: Long): Int = when {
     available < 0 -> 0
-    demand <= 0 -> Int.MAX_VALUE
-    else -> (available / demand).coerceAtMost(Int.MAX_VALUE.toLong()).toInt()
+    need <= 0 -> Int.MAX_VALUE
+    else -> (available / need).coerceAtMost(Int.MAX_VALUE.toLong()).toInt()
 }
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/JobLifecycle.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/JobLifecycle.kt
@@ -13,12 +13,12 @@
 private const val SERVICE_RESTART_PAUSE_MS = 200L
 
 internal class JobLifecycle(private val context: TermContext, private val stopper: RunStopper) {
-    private val jobRegistry get() = context.jobRegistry
+    private val jobs get() = context.jobRegistry
 
     /** Adds an accepted job; idempotent. */
     fun accept(accepted: AcceptedJob, version: Long) {
         val ageMs = (context.wallClock() - accepted.acceptedAtMs).coerceIn(0, MAX_AGE_MS)
-        val job = jobRegistry.add(accepted, context.clock() - ageMs) ?: return
+        val job = jobs.add(accepted, context.clock() - ageMs) ?: return
         context.log.event(
             "job_known",
             "job" to job.id,
@@ -28,16 +28,12 @@
             "age_ms" to ageMs,
             "objective_in_ms" to job.objectiveAtMs - context.clock(),
         )
-        if (job.isOpen &&
-            jobRegistry.isCancelled(job.id)
-        ) {
-            close(job, JobPhase.CANCELLED, "cancelled before it was known")
-        }
+        if (job.isOpen && jobs.isCancelled(job.id)) close(job, JobPhase.CANCELLED, "cancelled before it was known")
         context.wakePlanner()
     }
 
     fun cancel(jobId: String) {
-        val job = jobRegistry.cancel(jobId) ?: return
+        val job = jobs.cancel(jobId) ?: return
         close(job, JobPhase.CANCELLED, "cancelled by its caller")
     }
 
@@ -59,7 +55,7 @@
 
     /** Processes the end of a run that has no placement here; it counts unless a later run has replaced it. */
     fun endedWithoutPlacement(worker: TrackedWorker, end: TaskEnd) {
-        val task = jobRegistry.task(end.run.task) ?: return
+        val task = jobs.task(end.run.task) ?: return
         if (task.placement != null || end.run.run < task.lastRun) return recordEarlierFailure(task, end)
         task.lastRun = end.run.run
         recordEnd(task, end, worker)
@@ -145,7 +141,7 @@
 
     private fun close(job: TrackedJob, phase: JobPhase, reason: String) {
         if (!job.isOpen) return
-        jobRegistry.close(job, phase, context.wallClock())
+        jobs.close(job, phase, context.wallClock())
         val durationMs = context.clock() - job.acceptedAtMs
         context.log.event(
             "job_ended",
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/Planner.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/Planner.kt
@@ -198,7 +198,7 @@
 
         private fun firstRunNumber() = (context.term - 1) * RUNS_PER_TERM + 1
 
-        /** Reserves free capacity for a gang that does not fit now, if it would fit on the allowed workers when idle. */
+        /** Reserves free capacity for a gang that does not fit now but would fit on the allowed workers when idle. */
         private fun reserveForGang(step: TrackedStep, count: Int, workers: List<TrackedWorker>) {
             if (step.needsMoreAdvice(workers)) adviceNeeded += step
             val allowed = workers.filter { step.job.terms.advice == null || step.advice.mayRunOn(it.life) }
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/RowGarbageCollector.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/RowGarbageCollector.kt
@@ -22,7 +22,7 @@
 private const val MAX_JOBS_IN_TRANSACTION = 40
 
 internal class RowGarbageCollector(private val context: TermContext) {
-    /** Ended jobs whose accepted rows this leader has deleted. */
+    /** Ended jobs whose accepted rows this leader has collected. */
     private val jobsWithoutAcceptedRow = HashSet<String>()
 
     suspend fun run() {
@@ -46,14 +46,14 @@
     suspend fun deleteExpiredJobs() {
         val endedBeforeMs = context.wallClock() - context.bounds.statusRetentionMs - RETENTION_MARGIN_MS
         val expired = context.jobRegistry.endedBefore(endedBeforeMs).take(MAX_JOBS_IN_TRANSACTION)
-        val deleted = expired.groupBy { Tables.intakePartOf(it) }.values.flatMap { deleteIntakeRows(it) }
-        if (deleted.isEmpty() || !deleteProgress(deleted)) return
-        deleted.forEach { context.jobRegistry.forget(it) }
-        jobsWithoutAcceptedRow -= deleted.toSet()
-        context.log.event("rows_deleted", "jobs" to deleted.size)
+        val collected = expired.groupBy { Tables.intakePartOf(it) }.values.flatMap { deleteIntakeRows(it) }
+        if (collected.isEmpty() || !deleteProgress(collected)) return
+        collected.forEach { context.jobRegistry.forget(it) }
+        jobsWithoutAcceptedRow -= collected.toSet()
+        context.log.event("rows_deleted", "jobs" to collected.size)
     }
 
-    /** Returns the jobs whose rows are certainly deleted. */
+    /** Returns the jobs whose rows are certainly collected. */
     private suspend fun deleteIntakeRows(jobIds: List<String>): List<String> {
         val rows = jobIds.flatMap { listOf(Tables.acceptedRow(it), Tables.cancelRow(it)) }
         val outcome = context.store.transact(StoreTransaction(deletes = rows))
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/StepOrder.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/StepOrder.kt
@@ -18,15 +18,15 @@
     val job = step.job
     val objectiveDurationMs = job.objectiveAtMs - job.acceptedAtMs
     val dueMs = job.acceptedAtMs + startDelayMs
-    val objectiveAtMs = dueMs + objectiveDurationMs
+    val objectiveEndMs = dueMs + objectiveDurationMs
     val endsMs = nowMs + job.remainingCriticalPathMs(step)
     val lateness = when {
         step.description.isService || nowMs < (step.reservedUntilMs ?: Long.MIN_VALUE) -> Lateness.IN_TIME
-        endsMs <= objectiveAtMs -> Lateness.IN_TIME
+        endsMs <= objectiveEndMs -> Lateness.IN_TIME
         endsMs <= dueMs + WORTHLESS_AFTER * objectiveDurationMs -> Lateness.LATE
         else -> Lateness.WORTHLESS
     }
-    return RankedStep(step, lateness, objectiveAtMs - job.remainingCriticalPathMs(step))
+    return RankedStep(step, lateness, objectiveEndMs - job.remainingCriticalPathMs(step))
 }
 
 internal val STEP_ORDER: Comparator<RankedStep> = compareBy<RankedStep> { it.lateness }
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/UnsavedChanges.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/UnsavedChanges.kt
@@ -9,34 +9,34 @@
 internal class ChangeBatch(val jobs: List<TrackedJob>, val savedUpTo: Long)
 
 internal class UnsavedChanges {
-    private val unsaved = LinkedHashMap<TrackedJob, Long>()
-    private var lastChangeNumber = 0L
+    private val dirty = LinkedHashMap<TrackedJob, Long>()
+    private var lastChange = 0L
 
-    val isEmpty: Boolean get() = unsaved.isEmpty()
+    val isEmpty: Boolean get() = dirty.isEmpty()
 
     /** Records that [job] has changed; returns the number of the change. */
     fun add(job: TrackedJob): Long {
-        lastChangeNumber++
-        unsaved.putIfAbsent(job, lastChangeNumber)
-        return lastChangeNumber
+        lastChange++
+        dirty.putIfAbsent(job, lastChange)
+        return lastChange
     }
 
     /** Number of the last change; an end that changes nothing is saved along with it. */
-    fun lastNumber(): Long = lastChangeNumber
+    fun lastNumber(): Long = lastChange
 
     /** Removes and returns the next jobs to store; a job that changes afterwards is added again. */
     fun takeBatch(limit: Int): ChangeBatch {
-        val jobs = unsaved.keys.take(limit)
-        jobs.forEach { unsaved.remove(it) }
-        val savedUpTo = unsaved.values.firstOrNull()?.let { it - 1 } ?: lastChangeNumber
+        val jobs = dirty.keys.take(limit)
+        jobs.forEach { dirty.remove(it) }
+        val savedUpTo = dirty.values.firstOrNull()?.let { it - 1 } ?: lastChange
         return ChangeBatch(jobs, savedUpTo)
     }
 
     /** Puts a batch that was not stored back at the head of the queue. */
     fun requeue(batch: ChangeBatch) {
-        val later = LinkedHashMap(unsaved)
-        unsaved.clear()
-        batch.jobs.forEach { unsaved[it] = 0 }
-        later.forEach { (job, change) -> unsaved.putIfAbsent(job, change) }
+        val later = LinkedHashMap(dirty)
+        dirty.clear()
+        batch.jobs.forEach { dirty[it] = 0 }
+        later.forEach { (job, change) -> dirty.putIfAbsent(job, change) }
     }
 }
