--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/FreeCapacity.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/FreeCapacity.kt
@@ -13,7 +13,7 @@
         taken[worker] = taken[worker]?.plus(demand) ?: demand
     }
 
-    /** How many tasks with the given demand fit into the free capacity. */
+    /** How many tasks of the given size fit into what is free. */
     fun countFitting(worker: TrackedWorker, demand: Resources): Int = demand.countIn(free(worker))
 }
 
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/RowGarbageCollector.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/RowGarbageCollector.kt
@@ -22,7 +22,7 @@
 private const val MAX_JOBS_IN_TRANSACTION = 40
 
 internal class RowGarbageCollector(private val context: TermContext) {
-    /** Ended jobs whose accepted rows this leader has collected. */
+    /** Ended jobs whose accepted rows this leader has deleted. */
     private val jobsWithoutAcceptedRow = HashSet<String>()
 
     suspend fun run() {
@@ -53,7 +53,7 @@
         context.log.event("rows_deleted", "jobs" to collected.size)
     }
 
-    /** Returns the jobs whose rows are certainly collected. */
+    /** Returns the jobs whose rows are certainly deleted. */
     private suspend fun deleteIntakeRows(jobIds: List<String>): List<String> {
         val rows = jobIds.flatMap { listOf(Tables.acceptedRow(it), Tables.cancelRow(it)) }
         val outcome = context.store.transact(StoreTransaction(deletes = rows))
