--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/FreeCapacity.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/FreeCapacity.kt
@@ -24,8 +24,8 @@
     timesIn(accelerators, available.accelerators),
 )
 
-private fun timesIn(need: Long, available: Long): Int = when {
-    available < 0 -> 0
+private fun timesIn(need: Long, room: Long): Int = when {
+    room < 0 -> 0
     need <= 0 -> Int.MAX_VALUE
-    else -> (available / need).coerceAtMost(Int.MAX_VALUE.toLong()).toInt()
+    else -> (room / need).coerceAtMost(Int.MAX_VALUE.toLong()).toInt()
 }
