--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/Planner.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/Planner.kt
@@ -61,13 +61,13 @@
     }
 
     private fun rankedSteps(now: Long): List<RankedStep> {
-        val wallClock = context.wallClock()
+        val wallClockMs = context.wallClock()
         val ranked = ArrayList<RankedStep>()
         for (job in context.jobRegistry.openJobs) {
             if (!mayStart(job)) continue
             for (step in job.steps) {
                 val delayMs = step.dueAtMs?.let { (it - job.accepted.acceptedAtMs).coerceAtLeast(0) } ?: 0
-                val isDue = step.dueAtMs?.let { wallClock >= it } ?: true
+                val isDue = step.dueAtMs?.let { wallClockMs >= it } ?: true
                 if (isDue && step.isUnblocked && step.pendingTasks.isNotEmpty()) ranked += rank(step, now, delayMs)
             }
         }
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/ReportHandler.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/ReportHandler.kt
@@ -118,16 +118,13 @@
     private fun removeMissing(worker: TrackedWorker, report: HoldAnswer.Report, requestedAtMs: Long) {
         val reported = report.running.mapTo(HashSet()) { it.run }
         report.ends.mapTo(reported) { it.run }
-        for (placement in worker.placements.filter {
-            it.run !in reported &&
-                isAbsenceConclusive(it, report, requestedAtMs)
-        }) {
+        for (placement in worker.placements.filter { it.run !in reported && isLost(it, report, requestedAtMs) }) {
             lifecycle.lost(placement, "missing from a report of the worker")
         }
         for (run in worker.strayRuns.filter { it !in reported }) worker.removeStray(run)
     }
 
-    private fun isAbsenceConclusive(placement: Placement, report: HoldAnswer.Report, requestedAtMs: Long): Boolean {
+    private fun isLost(placement: Placement, report: HoldAnswer.Report, requestedAtMs: Long): Boolean {
         val confirmedAtMs = placement.confirmedAtMs
         return when {
             confirmedAtMs != null -> requestedAtMs > confirmedAtMs
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/TrackedWorker.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/TrackedWorker.kt
@@ -21,7 +21,7 @@
     private val strays = HashMap<TaskRun, Resources>()
     private var used = Resources.NONE
 
-    /** The worker has reported to this leader, so its fencing token rejects requests of former leaders. */
+    /** The worker has seen this leader's fencing token, so it rejects requests of former leaders. */
     var isContacted: Boolean = false
     var isListed: Boolean = true
     var isReachable: Boolean = true
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/WorkerPool.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/WorkerPool.kt
@@ -8,24 +8,26 @@
 
 internal class WorkerPool {
     val speeds = SpeedEstimator()
-    private val byLife = LinkedHashMap<WorkerLife, TrackedWorker>()
+    private val byIncarnation = LinkedHashMap<WorkerLife, TrackedWorker>()
 
-    val workers: Collection<TrackedWorker> get() = byLife.values
+    val workers: Collection<TrackedWorker> get() = byIncarnation.values
 
-    fun find(life: WorkerLife): TrackedWorker? = byLife[life]
+    fun find(life: WorkerLife): TrackedWorker? = byIncarnation[life]
 
-    fun add(entry: WorkerEntry): TrackedWorker = TrackedWorker(entry).also { byLife[entry.life] = it }
+    fun add(entry: WorkerEntry): TrackedWorker = TrackedWorker(entry).also { byIncarnation[entry.life] = it }
 
     fun remove(worker: TrackedWorker) {
-        byLife.remove(worker.life)
+        byIncarnation.remove(worker.life)
     }
 
-    fun incarnationsOf(workerId: String): List<TrackedWorker> = byLife.values.filter { it.id == workerId }
+    fun incarnationsOf(workerId: String): List<TrackedWorker> = byIncarnation.values.filter { it.id == workerId }
 
     /** Tasks with a stray run on some worker: their next run waits until that one has ended. */
-    fun tasksWithStrayRuns(): Set<TaskName> = byLife.values.flatMapTo(HashSet()) { it.strayRuns.map(TaskRun::task) }
+    fun tasksWithStrayRuns(): Set<TaskName> = byIncarnation.values.flatMapTo(HashSet()) {
+        it.strayRuns.map(TaskRun::task)
+    }
 
     /** Workers of a service that accept new tasks now. */
     fun accepting(service: String, nowMs: Long): List<TrackedWorker> =
-        byLife.values.filter { it.entry.service == service && it.accepts(nowMs) }
+        byIncarnation.values.filter { it.entry.service == service && it.accepts(nowMs) }
 }
--- a/scheduler/src/test/kotlin/dev/bronzeshore/scheduler/PlannerPartsTest.kt
+++ b/scheduler/src/test/kotlin/dev/bronzeshore/scheduler/SchedulerComponentsTest.kt
@@ -1,4 +1,4 @@
-/** Tests of the small components of the scheduler. */
+/** Ordering, capacity, clocks, speeds, advice and unsaved changes of the scheduler. */
 package dev.bronzeshore.scheduler
 
 import dev.bronzeshore.core.Resources
@@ -24,7 +24,7 @@
 private const val SERVICE = "service"
 private val WORKER_CAPACITY = Resources(16_000, 32_000)
 
-class PlannerPartsTest {
+class SchedulerComponentsTest {
     private fun job(id: String, priority: Int, estimateMs: Long, acceptedAtMs: Long): TrackedJob {
         val terms = QueueTerms("q$priority", SERVICE, priority, 3, 2.0, 500)
         return TrackedJob(
@@ -100,20 +100,20 @@
         assertTrue(abs(estimator.slownessOf(fast)) < 1.0)
     }
 
-    private val lifeA = WorkerLife("a", 1)
-    private val lifeB = WorkerLife("b", 1)
+    private val incarnationA = WorkerLife("a", 1)
+    private val incarnationB = WorkerLife("b", 1)
 
     /** Guards against a ticket that is used after its validity or after the worker refused it. */
     @Test
     fun `tickets expire but the allowed workers stay`() {
         val advice = StepAdvice()
-        advice.record(listOf(lifeA, lifeB), listOf(AdviceTicket("a", "t")), validUntilMs = 100)
-        assertEquals("t", advice.ticketFor(lifeA, 99))
-        assertNull(advice.ticketFor(lifeA, 100))
-        assertTrue(advice.mayRunOn(lifeA))
-        assertFalse(advice.mayRunOn(lifeB))
-        advice.expire(lifeA)
-        assertNull(advice.ticketFor(lifeA, 0))
+        advice.record(listOf(incarnationA, incarnationB), listOf(AdviceTicket("a", "t")), validUntilMs = 100)
+        assertEquals("t", advice.ticketFor(incarnationA, 99))
+        assertNull(advice.ticketFor(incarnationA, 100))
+        assertTrue(advice.mayRunOn(incarnationA))
+        assertFalse(advice.mayRunOn(incarnationB))
+        advice.expire(incarnationA)
+        assertNull(advice.ticketFor(incarnationA, 0))
     }
 
     /**
@@ -123,22 +123,22 @@
     @Test
     fun `advice is requested again for a restarted worker`() {
         val advice = StepAdvice()
-        advice.record(listOf(lifeA), listOf(AdviceTicket("a", "t")), validUntilMs = 100)
-        val secondLife = WorkerLife("a", 2)
-        assertFalse(advice.isAsked(secondLife))
-        assertFalse(advice.mayRunOn(secondLife))
-        advice.record(listOf(secondLife), emptyList(), validUntilMs = 200)
-        assertTrue(advice.isAsked(secondLife))
-        assertFalse(advice.mayRunOn(secondLife))
+        advice.record(listOf(incarnationA), listOf(AdviceTicket("a", "t")), validUntilMs = 100)
+        val restarted = WorkerLife("a", 2)
+        assertFalse(advice.isAsked(restarted))
+        assertFalse(advice.mayRunOn(restarted))
+        advice.record(listOf(restarted), emptyList(), validUntilMs = 200)
+        assertTrue(advice.isAsked(restarted))
+        assertFalse(advice.mayRunOn(restarted))
     }
 
     /** Guards against a task that starts on a worker that a later answer leaves out. */
     @Test
     fun `a later answer replaces an earlier one`() {
         val advice = StepAdvice()
-        advice.record(listOf(lifeA), listOf(AdviceTicket("a", "t")), validUntilMs = 100)
-        advice.record(listOf(lifeA), emptyList(), validUntilMs = 200)
-        assertFalse(advice.mayRunOn(lifeA))
+        advice.record(listOf(incarnationA), listOf(AdviceTicket("a", "t")), validUntilMs = 100)
+        advice.record(listOf(incarnationA), emptyList(), validUntilMs = 200)
+        assertFalse(advice.mayRunOn(incarnationA))
     }
 
     /** Guards against ends that are acknowledged before the progress that they change is stored. */
