--- a/scheduler/src/test/kotlin/dev/bronzeshore/scheduler/SchedulerComponentsTest.kt
+++ b/scheduler/src/test/kotlin/dev/bronzeshore/scheduler/PlannerPartsTest.kt
@@ -24,7 +24,7 @@
 private const val SERVICE = "service"
 private val WORKER_CAPACITY = Resources(16_000, 32_000)
 
-class SchedulerComponentsTest {
+class PlannerPartsTest {
     private fun job(id: String, priority: Int, estimateMs: Long, acceptedAtMs: Long): TrackedJob {
         val terms = QueueTerms("q$priority", SERVICE, priority, 3, 2.0, 500)
         return TrackedJob(
