--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/StepAdvice.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/StepAdvice.kt
@@ -32,9 +32,9 @@
     fun record(askedWorkers: List<WorkerLife>, answer: List<AdviceTicket>, validUntilMs: Long) {
         asked += askedWorkers
         val ticketOf = answer.associate { it.workerId to it.ticket }
-        for (life in askedWorkers) {
-            val ticket = ticketOf[life.workerId]
-            if (ticket == null) tickets.remove(life) else tickets[life] = CachedTicket(ticket, validUntilMs)
+        for (worker in askedWorkers) {
+            val ticket = ticketOf[worker.workerId]
+            if (ticket == null) tickets.remove(worker) else tickets[worker] = CachedTicket(ticket, validUntilMs)
         }
     }
 
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/WorkerPool.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/WorkerPool.kt
@@ -22,12 +22,12 @@
 
     fun incarnationsOf(workerId: String): List<TrackedWorker> = byIncarnation.values.filter { it.id == workerId }
 
-    /** Tasks with a stray run on some worker: their next run waits until that one has ended. */
+    /** Tasks with a run on some worker that is to be stopped: another run must wait for its end. */
     fun tasksWithStrayRuns(): Set<TaskName> = byIncarnation.values.flatMapTo(HashSet()) {
         it.strayRuns.map(TaskRun::task)
     }
 
-    /** Workers of a service that accept new tasks now. */
+    /** Workers of a service that take new tasks now. */
     fun accepting(service: String, nowMs: Long): List<TrackedWorker> =
         byIncarnation.values.filter { it.entry.service == service && it.accepts(nowMs) }
 }
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/WorkerRegistry.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/WorkerRegistry.kt
@@ -46,14 +46,14 @@
 
     /** Adds a worker on which a former leader may have started tasks. */
     fun addFormer(worker: RosterWorker) {
-        val life = WorkerLife(worker.workerId, worker.startedAtMs)
-        context.workerPool.find(life)?.let { known ->
+        val former = WorkerLife(worker.workerId, worker.startedAtMs)
+        context.workerPool.find(former)?.let { known ->
             formerWorkers[known] = worker.heldJobs
             return
         }
-        if (context.workerPool.incarnationsOf(life.workerId).any { it.life.startedAtMs > life.startedAtMs }) return
+        if (context.workerPool.incarnationsOf(former.workerId).any { it.life.startedAtMs > former.startedAtMs }) return
         val entry = WorkerEntry(
-            life,
+            former,
             worker.service,
             worker.address,
             dataCentre = "",
@@ -79,7 +79,7 @@
         if (entry == null) return context.workerPool.incarnationsOf(change.workerId).forEach { unlist(it) }
         for (older in context.workerPool.incarnationsOf(change.workerId)) {
             if (older.life.startedAtMs > entry.life.startedAtMs) return
-            if (older.life.startedAtMs < entry.life.startedAtMs) markGone(older, "the worker has restarted")
+            if (older.life.startedAtMs < entry.life.startedAtMs) markGone(older, "the worker restarted")
         }
         val known = context.workerPool.find(entry.life) ?: return add(entry).let { }
         if (known.entry.isDraining != entry.isDraining) {
