--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/WorkerPool.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/WorkerPool.kt
@@ -20,7 +20,7 @@
         byIncarnation.remove(worker.life)
     }
 
-    fun incarnationsOf(workerId: String): List<TrackedWorker> = byIncarnation.values.filter { it.id == workerId }
+    fun withId(workerId: String): List<TrackedWorker> = byIncarnation.values.filter { it.id == workerId }
 
     /** Tasks with a run on some worker that is to be stopped: another run must wait for its end. */
     fun tasksWithStrayRuns(): Set<TaskName> = byIncarnation.values.flatMapTo(HashSet()) {
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/WorkerRegistry.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/WorkerRegistry.kt
@@ -51,7 +51,7 @@
             formerWorkers[known] = worker.heldJobs
             return
         }
-        if (context.workerPool.incarnationsOf(former.workerId).any { it.life.startedAtMs > former.startedAtMs }) return
+        if (context.workerPool.withId(former.workerId).any { it.life.startedAtMs > former.startedAtMs }) return
         val entry = WorkerEntry(
             former,
             worker.service,
@@ -76,8 +76,8 @@
 
     fun apply(change: WorkerChange) {
         val entry = change.entry
-        if (entry == null) return context.workerPool.incarnationsOf(change.workerId).forEach { unlist(it) }
-        for (older in context.workerPool.incarnationsOf(change.workerId)) {
+        if (entry == null) return context.workerPool.withId(change.workerId).forEach { unlist(it) }
+        for (older in context.workerPool.withId(change.workerId)) {
             if (older.life.startedAtMs > entry.life.startedAtMs) return
             if (older.life.startedAtMs < entry.life.startedAtMs) markGone(older, "the worker restarted")
         }
