--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/ChangeLog.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/UnsavedChanges.kt
@@ -1,30 +1,30 @@
 /**
- * Jobs whose progress is not stored yet, in the order of their first unsaved change.
+ * Queue of jobs whose progress is not stored yet, in the order of their first unsaved change.
  *
  * An end may be acknowledged to its worker once its change is saved.
  */
 package dev.bronzeshore.scheduler
 
-/** Jobs to store, and the number of the change up to which everything is saved once they are stored. */
+/** Jobs to store, and the number up to which all changes are saved once these jobs are stored. */
 internal class ChangeBatch(val jobs: List<TrackedJob>, val savedUpTo: Long)
 
-internal class ChangeLog {
+internal class UnsavedChanges {
     private val dirty = LinkedHashMap<TrackedJob, Long>()
     private var lastChange = 0L
 
     val isEmpty: Boolean get() = dirty.isEmpty()
 
-    /** Notes that [job] has changed; returns the number of the change. */
-    fun note(job: TrackedJob): Long {
+    /** Records that [job] has changed; returns the number of the change. */
+    fun add(job: TrackedJob): Long {
         lastChange++
         dirty.putIfAbsent(job, lastChange)
         return lastChange
     }
 
-    /** Number of the last change, for an end that changes nothing. */
-    fun current(): Long = lastChange
+    /** Number of the last change; an end that changes nothing is saved along with it. */
+    fun lastNumber(): Long = lastChange
 
-    /** Takes the next jobs to store out of the log; a job that changes from now on is noted anew. */
+    /** Removes and returns the next jobs to store; a job that changes afterwards is added again. */
     fun takeBatch(limit: Int): ChangeBatch {
         val jobs = dirty.keys.take(limit)
         jobs.forEach { dirty.remove(it) }
@@ -32,8 +32,8 @@
         return ChangeBatch(jobs, savedUpTo)
     }
 
-    /** The batch was not stored: its jobs come first again. */
-    fun putBack(batch: ChangeBatch) {
+    /** Puts a batch that was not stored back at the head of the queue. */
+    fun requeue(batch: ChangeBatch) {
         val later = LinkedHashMap(dirty)
         dirty.clear()
         batch.jobs.forEach { dirty[it] = 0 }
--- /dev/null
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/WorkerPool.kt
@@ -0,0 +1,33 @@
+/** The workers that the leader knows, by incarnation. Not thread-safe. */
+package dev.bronzeshore.scheduler
+
+import dev.bronzeshore.core.cluster.TaskName
+import dev.bronzeshore.core.cluster.TaskRun
+import dev.bronzeshore.core.cluster.WorkerEntry
+import dev.bronzeshore.core.cluster.WorkerIncarnation
+
+internal class WorkerPool {
+    val speeds = SpeedEstimator()
+    private val byIncarnation = LinkedHashMap<WorkerIncarnation, TrackedWorker>()
+
+    val workers: Collection<TrackedWorker> get() = byIncarnation.values
+
+    fun find(incarnation: WorkerIncarnation): TrackedWorker? = byIncarnation[incarnation]
+
+    fun add(entry: WorkerEntry): TrackedWorker = TrackedWorker(entry).also { byIncarnation[entry.incarnation] = it }
+
+    fun remove(worker: TrackedWorker) {
+        byIncarnation.remove(worker.incarnation)
+    }
+
+    fun withId(workerId: String): List<TrackedWorker> = byIncarnation.values.filter { it.id == workerId }
+
+    /** Tasks with a run on some worker that is to be stopped: another run must wait for its end. */
+    fun tasksWithStrayRuns(): Set<TaskName> = byIncarnation.values.flatMapTo(HashSet()) {
+        it.strayRuns.map(TaskRun::task)
+    }
+
+    /** Workers of a service that take new tasks now. */
+    fun accepting(service: String, nowMs: Long): List<TrackedWorker> =
+        byIncarnation.values.filter { it.entry.service == service && it.accepts(nowMs) }
+}
