--- a/peering/src/main/kotlin/dev/bronzeshore/peering/PeerClient.kt
+++ b/peering/src/main/kotlin/dev/bronzeshore/peering/PeerClient.kt
@@ -23,7 +23,7 @@
     private val clock: ClockMs,
     private val scope: CoroutineScope,
 ) {
-    private val links = ConcurrentHashMap<String, PeerLink>()
+    private val links = ConcurrentHashMap<String, PeerConnection>()
 
     /**
      * Calls the process at [address] and waits for its reply until [deadlineMs].
@@ -39,7 +39,7 @@
         val body = WireCbor.encodeToByteArray(type.request, request)
         val link = linkTo(address)
         val frame = withTimeoutOrNull(deadlineMs - clock()) { link.call(type.name, body, deadlineMs) }
-        if (frame == null) link.abandon()
+        if (frame == null) link.disconnect()
         frame?.toReply(type) ?: unavailable(address, "no reply before the deadline").left()
     } catch (failure: CancellationException) {
         throw failure
@@ -48,12 +48,12 @@
     }
 
     /** Ends the connection to [address] after a call without a reply; it may have fallen silent for good. */
-    public fun abandon(address: String) {
-        links[address]?.abandon()
+    public fun disconnect(address: String) {
+        links[address]?.disconnect()
     }
 
-    private fun linkTo(address: String): PeerLink = links.compute(address) { _, old ->
-        old?.takeUnless { it.isClosed } ?: PeerLink(selector, address, scope)
+    private fun linkTo(address: String): PeerConnection = links.compute(address) { _, old ->
+        old?.takeUnless { it.isClosed } ?: PeerConnection(selector, address, scope)
     }!!
 
     private fun <Q, A> Frame.toReply(type: CallType<Q, A>): Either<Fault, A> = fault?.left() ?: Either
--- a/peering/src/main/kotlin/dev/bronzeshore/peering/PeerLink.kt
+++ b/peering/src/main/kotlin/dev/bronzeshore/peering/PeerConnection.kt
@@ -18,7 +18,7 @@
 import java.util.concurrent.ConcurrentHashMap
 import java.util.concurrent.atomic.AtomicLong
 
-internal class PeerLink(
+internal class PeerConnection(
     private val selector: SelectorManager,
     private val address: String,
     private val scope: CoroutineScope,
@@ -49,7 +49,7 @@
     }
 
     /** Ends the connection after a call without a reply: a connection can fall silent for good without a reset. */
-    fun abandon(): Unit = close(IOException("a call on this connection got no reply in time"))
+    fun disconnect(): Unit = close(IOException("a call on this connection got no reply in time"))
 
     private suspend fun send(frame: Frame) = try {
         writeLock.withLock { FrameCodec.write(output ?: connect().also { output = it }, frame) }
--- a/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterProcess.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterProcess.kt
@@ -82,12 +82,12 @@
         leaderCapacity(settings.processorShare, settings.linkMbps),
     )
     private val directory: NodeDirectory = NodeDirectory(store, ownRow) { election.currentTerm != null }
-    private val config = ConfigFollower(store, SteadyClock, { directory.peers }) { peer, version ->
+    private val config = ConfigWatcher(store, SteadyClock, { directory.peers }) { peer, version ->
         peerCaller.call(peer, CONFIG_CALL, ConfigRequest(version), CONFIG_TIMEOUT_MS)?.content
     }
     private val metrics = ClusterMetrics({ config.current?.version ?: 0 }, { election.currentTerm?.term ?: 0 })
     private val localDesk: JobDesk = createStoreDesk(store, SteadyClock, { health.isServed }, scope)
-    private val desk = PeerDesk(localDesk, health, { directory.peers }, peerCaller)
+    private val desk = JobRequestForwarder(localDesk, health, { directory.peers }, peerCaller)
     private val election: LeaderElection = LeaderElection(
         store,
         ownRow,
@@ -99,8 +99,8 @@
             storeLost = { term -> scope.launch(control) { passOnUnlessServed(term) } },
         ),
     )
-    private val leaderLink: LeaderLink by lazy {
-        LeaderLink(ownRow, election, { directory.peers }, peerCaller, newPeerCaller())
+    private val leaderLink: LeaderClient by lazy {
+        LeaderClient(ownRow, election, { directory.peers }, peerCaller, newPeerCaller())
     }
     private var runner: LeaderTermRunner? = null
     private val inFlight = AtomicInteger()
@@ -164,7 +164,7 @@
         if (!isServed) passOn(term)
     }
 
-    private fun newPeerCaller() = PeerCaller(PeerClient(selector, timeOfDay, scope), timeOfDay)
+    private fun newPeerCaller() = TimedPeerClient(PeerClient(selector, timeOfDay, scope), timeOfDay)
 
     private suspend fun startTerm(won: LeaderTerm) {
         endTerm()
--- a/server/src/main/kotlin/dev/bronzeshore/server/cluster/ConfigFollower.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/cluster/ConfigWatcher.kt
@@ -23,7 +23,7 @@
 /** A feed answer this late is on a slow store or a silent connection; an answer takes about 10 ms. */
 private const val OVERDUE_MS = 250L
 
-internal class ConfigFollower(
+internal class ConfigWatcher(
     private val store: ClusterStore,
     private val clock: ClockMs,
     private val peers: () -> List<NodeRow>,
--- a/server/src/main/kotlin/dev/bronzeshore/server/cluster/PeerDesk.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/cluster/JobRequestForwarder.kt
@@ -34,11 +34,11 @@
 /** Time after which a caller that was refused may come back: most spells in which the store is lost last seconds. */
 private const val STORE_RETRY_MS = 1_000L
 
-internal class PeerDesk(
+internal class JobRequestForwarder(
     private val local: JobDesk,
     private val health: StoreHealth,
     private val peers: () -> List<NodeRow>,
-    private val calls: PeerCaller,
+    private val calls: TimedPeerClient,
 ) {
     private val log = EventLog("intake")
 
--- a/server/src/main/kotlin/dev/bronzeshore/server/cluster/LeaderLink.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/cluster/LeaderClient.kt
@@ -43,13 +43,13 @@
 /** A process that the store serves takes over in about 30 ms; one that it turns away must not hold up the next one. */
 private const val HANDOVER_NEXT_MS = 400L
 
-internal class LeaderLink(
+internal class LeaderClient(
     private val own: NodeRow,
     private val election: LeaderElection,
     private val peers: () -> List<NodeRow>,
-    private val calls: PeerCaller,
+    private val calls: TimedPeerClient,
     /** Has connections of its own: another call that is answered late ends the connection that it used. */
-    private val watchCalls: PeerCaller,
+    private val watchCalls: TimedPeerClient,
 ) {
     private val log = EventLog("leadership")
     private var isHandingOver = false
--- a/server/src/main/kotlin/dev/bronzeshore/server/cluster/PeerCaller.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/cluster/TimedPeerClient.kt
@@ -12,7 +12,7 @@
 private const val CLOCK_ALLOWANCE_MS = 10_000L
 private const val DEFAULT_TIMEOUT_MS = 1_500L
 
-internal class PeerCaller(private val client: PeerClient, private val clock: ClockMs) {
+internal class TimedPeerClient(private val client: PeerClient, private val clock: ClockMs) {
     private val log = EventLog("peering")
 
     /** The reply, or null when none came in time. */
@@ -20,7 +20,7 @@
         val answer = withTimeoutOrNull(timeoutMs) {
             client.call(peer.peerAddress, type, request, clock() + timeoutMs + CLOCK_ALLOWANCE_MS)
         }
-        if (answer == null) client.abandon(peer.peerAddress)
+        if (answer == null) client.disconnect(peer.peerAddress)
         answer?.onLeft {
             log.event("call_failed", "call" to type.name, "peer" to peer.processName, "cause" to it.message)
         }
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/Await.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/Await.kt
@@ -16,5 +16,5 @@
 } ?: false
 
 /** Fails if [condition] does not hold within [withinMs]. */
-internal suspend fun awaitThat(withinMs: Long = AWAIT_MS, condition: () -> Boolean) =
+internal suspend fun awaitUntil(withinMs: Long = AWAIT_MS, condition: () -> Boolean) =
     check(isReached(withinMs, condition)) { "The condition does not hold within $withinMs ms." }
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/ConfigFollowerTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/ConfigWatcherTest.kt
@@ -15,14 +15,14 @@
 /** Time within which a configuration is in force; the platform's bound on the users' sites. */
 private const val APPLY_MS = 2_000L
 
-class ConfigFollowerTest {
+class ConfigWatcherTest {
     private class Setup(private val scope: TestScope) {
         val store = StoreStandIn(Random(1), scope.backgroundScope)
         val followers = List(3) { follower(it) }
 
-        private fun follower(number: Int): ConfigFollower {
+        private fun follower(number: Int): ConfigWatcher {
             val peers = { List(3) { NodeRow("n$it", "boot", "n$it:1") }.filter { it.processName != "n$number" } }
-            return ConfigFollower(store.asSeenBy("n$number"), { scope.currentTime }, peers) { peer, version ->
+            return ConfigWatcher(store.asSeenBy("n$number"), { scope.currentTime }, peers) { peer, version ->
                 followers[peer.processName.drop(1).toInt()].contentAfter(version)
             }
         }
@@ -45,7 +45,7 @@
         setup.run()
         setup.awaitVersion(1, withinMs = AWAIT_MS)
         setup.store.faults.silentFeeds += "n0"
-        awaitThat { "silent feed" in setup.store.calls }
+        awaitUntil { "silent feed" in setup.store.calls }
         setup.write(2)
         setup.awaitVersion(2, withinMs = APPLY_MS)
     }
@@ -61,5 +61,5 @@
     }
 
     private suspend fun Setup.awaitVersion(version: Long, withinMs: Long) =
-        awaitThat(withinMs) { versions == List(followers.size) { version } }
+        awaitUntil(withinMs) { versions == List(followers.size) { version } }
 }
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/HeavyDayTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/HeavyDayTest.kt
@@ -21,10 +21,10 @@
     /** Guards against a wide gang that waits for ever, because small tasks take each piece of room that falls free. */
     @Test
     fun `a gang over a full fleet starts although small tasks keep coming`() = runTest {
-        val trial = SchedulerTrial(this, seed = 1, workerCount = 4)
+        val trial = SchedulerSimulation(this, seed = 1, workerCount = 4)
         trial.lead()
         backgroundScope.launch { flood(trial) }
-        awaitThat { trial.workers.judge.runningCount == 4 * SMALL_TASKS_PER_WORKER }
+        awaitUntil { trial.workers.judge.runningCount == 4 * SMALL_TASKS_PER_WORKER }
         trial.submit(GANG, step(replicas = 4, cores = 15, durationMs = 1_000, isGang = true), priority = 1)
         assertTrue(trial.awaitPhase(GANG, JobPhase.COMPLETED, withinMs = 12_000))
         assertEquals(emptyList<String>(), trial.workers.judge.violations)
@@ -33,7 +33,7 @@
     /** Guards against urgent work that waits behind patient work which came first. */
     @Test
     fun `an urgent job that comes last starts first`() = runTest {
-        val trial = SchedulerTrial(this, seed = 2, workerCount = 4)
+        val trial = SchedulerSimulation(this, seed = 2, workerCount = 4)
         trial.lead()
         submitBacklog(trial)
         trial.submit(URGENT, step(replicas = 2, cores = 4, durationMs = 500), priority = 0)
@@ -49,21 +49,21 @@
     @Test
     @Tag("known-red")
     fun `an urgent job overtakes a backlog`() = runTest {
-        val trial = SchedulerTrial(this, seed = 2, workerCount = 4)
+        val trial = SchedulerSimulation(this, seed = 2, workerCount = 4)
         trial.lead()
         submitBacklog(trial)
-        awaitThat { trial.workers.judge.runningCount == 16 }
+        awaitUntil { trial.workers.judge.runningCount == 16 }
         trial.submit(URGENT, step(replicas = 2, cores = 4, durationMs = 500), priority = 0)
         assertTrue(trial.awaitPhase(URGENT, JobPhase.COMPLETED, withinMs = 3_000))
     }
 
-    private fun submitBacklog(trial: SchedulerTrial) =
+    private fun submitBacklog(trial: SchedulerSimulation) =
         repeat(60) { trial.submit(it.toString(16).padStart(16, '0'), step(4, 4, 1_500), priority = 2) }
 
     /** Guards against poisoned jobs that run more often than allowed, or that hold up others. */
     @Test
     fun `jobs that always fail are given up after their attempts and hold up nobody`() = runTest {
-        val trial = SchedulerTrial(this, seed = 3, workerCount = 4)
+        val trial = SchedulerSimulation(this, seed = 3, workerCount = 4)
         trial.lead()
         trial.workers.faults.failing += trial.workers.ids
         trial.submit(GANG, step(replicas = 1, cores = 1, durationMs = 1_000), attempts = 3)
@@ -77,10 +77,10 @@
     /** Guards against a cancelled job that goes on, also when the cancellation comes before the job. */
     @Test
     fun `cancelled jobs stop`() = runTest {
-        val trial = SchedulerTrial(this, seed = 5, workerCount = 3)
+        val trial = SchedulerSimulation(this, seed = 5, workerCount = 3)
         trial.lead()
         trial.submit(GANG, step(replicas = 6, cores = 4, durationMs = 60_000))
-        awaitThat { trial.workers.judge.runningCount == 6 }
+        awaitUntil { trial.workers.judge.runningCount == 6 }
         trial.cancel(URGENT)
         trial.cancel(GANG)
         assertTrue(trial.awaitPhase(GANG, JobPhase.CANCELLED, withinMs = 3_000))
@@ -91,10 +91,10 @@
     /** Guards against gangs whose tickets expire again and again, while further ones are asked for. */
     @Test
     fun `gangs on a busy large fleet start although tickets expire`() = runTest {
-        val trial = SchedulerTrial(this, seed = 12, workerCount = 100)
+        val trial = SchedulerSimulation(this, seed = 12, workerCount = 100)
         trial.lead()
         backgroundScope.launch { flood(trial, everyMs = 30, cores = 10) }
-        awaitThat { trial.workers.judge.runningCount == 100 }
+        awaitUntil { trial.workers.judge.runningCount == 100 }
         trial.adviceTerms = AdviceTerms(decisionMs = 700.0, perWorkerMs = 10.0, validityMs = 1_500)
         trial.submit(GANG, step(replicas = 24, cores = 4, durationMs = 500, isGang = true), priority = 1)
         trial.adviceTerms = null
@@ -102,7 +102,7 @@
         assertEquals(emptyList<String>(), trial.workers.judge.violations)
     }
 
-    private suspend fun flood(trial: SchedulerTrial, everyMs: Long = 120, cores: Int = 3) {
+    private suspend fun flood(trial: SchedulerSimulation, everyMs: Long = 120, cores: Int = 3) {
         var number = 0
         while (true) {
             trial.submit((number++).toString(16).padStart(16, '0'), step(3, cores, 1_200), priority = 1)
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/LeaderLinkTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/LeaderClientTest.kt
@@ -34,7 +34,7 @@
 /** A busy leader's answer comes this late. */
 private const val LATE_ANSWER_MS = 250L
 
-class LeaderLinkTest {
+class LeaderClientTest {
     private class Setup(private val scope: CoroutineScope) {
         private val selector = SelectorManager(Dispatchers.IO)
         private val store = StoreStandIn(Random(1), scope)
@@ -66,7 +66,7 @@
             return election(leaderRow.copy(peerAddress = "$HOST:$port")) to serverJob
         }
 
-        fun newCaller() = PeerCaller(PeerClient(selector, System::currentTimeMillis, scope), System::currentTimeMillis)
+        fun newCaller() = TimedPeerClient(PeerClient(selector, System::currentTimeMillis, scope), System::currentTimeMillis)
     }
 
     /** Guards against a busy leader that is taken for dead because calls that it answers late end their connection. */
@@ -76,14 +76,14 @@
         val setup = Setup(this)
         val (leader, server) = setup.startLeader()
         launch { leader.run() }
-        awaitThat { leader.currentTerm != null }
+        awaitUntil { leader.currentTerm != null }
         val own = NodeRow("follower", "boot-2", "$HOST:1")
         val follower = setup.election(own)
         launch { follower.run() }
-        awaitThat { follower.knownLeader != null }
+        awaitUntil { follower.knownLeader != null }
         val terms = QueueTerms("queue", "service", 0, 1, 1.0, 0)
         val job = AcceptedJob("0000000000000001", JobDescription("payload", emptyList()), terms, 0)
-        val link = LeaderLink(own, follower, { emptyList() }, setup.newCaller(), setup.newCaller())
+        val link = LeaderClient(own, follower, { emptyList() }, setup.newCaller(), setup.newCaller())
         launch { link.watch() }
         repeat(LOOKS) {
             launch { link.announce(job) }
@@ -92,7 +92,7 @@
         delay(LATE_ANSWER_MS)
         assertEquals(1, follower.knownLeader?.term)
         server.cancelAndJoin()
-        awaitThat { follower.currentTerm?.term == 2L }
+        awaitUntil { follower.currentTerm?.term == 2L }
         coroutineContext.cancelChildren()
     }
 }
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/LeaderElectionTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/LeaderElectionTest.kt
@@ -52,7 +52,7 @@
 
     /** The leader of [term] or a later one; fails if there is none after [withinMs] of virtual time. */
     private suspend fun List<Candidate>.awaitLeader(term: Long = 1, withinMs: Long = AWAIT_MS): Candidate {
-        awaitThat(withinMs) { (leader()?.election?.currentTerm?.term ?: 0) >= term }
+        awaitUntil(withinMs) { (leader()?.election?.currentTerm?.term ?: 0) >= term }
         return checkNotNull(leader())
     }
 
@@ -85,10 +85,10 @@
         val candidates = List(3) { cluster.boot("n$it") }
         val leader = candidates.awaitLeader()
         cluster.store.faults.isDown = true
-        awaitThat(OUTAGE_MS) { cluster.storeLost >= FAILED_RENEWALS }
+        awaitUntil(OUTAGE_MS) { cluster.storeLost >= FAILED_RENEWALS }
         cluster.store.faults.isDown = false
         val backAtMs = currentTime
-        awaitThat { leader.election.renewedAtMs > backAtMs + LEADER_LOST_MS }
+        awaitUntil { leader.election.renewedAtMs > backAtMs + LEADER_LOST_MS }
         assertEquals(leader.name, candidates.leader()?.name)
         assertEquals(listOf(1L), cluster.gained)
     }
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/SchedulerTrial.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/SchedulerSimulation.kt
@@ -59,7 +59,7 @@
     remoteFactor = 1.5,
 )
 
-internal class SchedulerTrial(private val scope: TestScope, seed: Long, workerCount: Int = 6) {
+internal class SchedulerSimulation(private val scope: TestScope, seed: Long, workerCount: Int = 6) {
     val random = Random(seed)
     val store = StoreStandIn(random, scope.backgroundScope)
     private val durations = HashMap<String, Long>()
@@ -158,7 +158,7 @@
         isReached(withinMs) { phaseOf(id) == phase }
 
     /** Waits until the roster in the store names all workers, which is when tasks may start on them. */
-    suspend fun awaitRoster() = awaitThat {
+    suspend fun awaitRoster() = awaitUntil {
         val roster = store.valueOf(Tables.ROSTER_ROW)?.let { decodeRow(WorkerRosterRow.serializer(), it).workers }
         roster.orEmpty().map { it.workerId }.containsAll(workers.ids)
     }
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/SchedulerTrialTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/SchedulerSimulationTest.kt
@@ -15,16 +15,16 @@
 private const val SEEDS = 6L
 
 /** Guards against tasks that run twice, overfilled workers, and work that is lost or counted as done without an end. */
-class SchedulerTrialTest {
+class SchedulerSimulationTest {
     /** A kind of trouble, done at a random moment. */
-    internal data class Trouble(val name: String, val act: suspend SchedulerTrial.() -> Unit) {
+    internal data class Trouble(val name: String, val act: suspend SchedulerSimulation.() -> Unit) {
         override fun toString() = name
     }
 
     @ParameterizedTest
     @MethodSource("cases")
     internal fun `keeps its promises under`(trouble: Trouble, seed: Long) = runTest(timeout = 2.minutes) {
-        val trial = SchedulerTrial(this, seed)
+        val trial = SchedulerSimulation(this, seed)
         trial.lead()
         playDay(trial, trouble)
         trial.workers.faults.appliedLate = 0.0
@@ -39,7 +39,7 @@
         assertEquals(emptyMap<String, JobPhase?>(), unfinished)
     }
 
-    private suspend fun TestScope.playDay(trial: SchedulerTrial, trouble: Trouble) {
+    private suspend fun TestScope.playDay(trial: SchedulerSimulation, trouble: Trouble) {
         var number = 0
         while (trial.nowMs() < TROUBLE_MS) {
             delay(trial.random.nextLong(50, 400))
@@ -48,7 +48,7 @@
         }
     }
 
-    private fun submitRandom(trial: SchedulerTrial, number: Int) {
+    private fun submitRandom(trial: SchedulerSimulation, number: Int) {
         val random = trial.random
         val id = number.toString(16).padStart(16, '0')
         val first =
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/TakeoverTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/TakeoverTest.kt
@@ -21,14 +21,14 @@
     /** Guards against failed runs that are counted short when their ends reach a new leader in any order (BUDGET). */
     @Test
     fun `failed runs count across a takeover`() = runTest {
-        val trial = SchedulerTrial(this, seed = 4, workerCount = 3)
+        val trial = SchedulerSimulation(this, seed = 4, workerCount = 3)
         trial.lead()
         trial.workers.faults.failing += trial.workers.ids
         trial.submit(JOB, step(replicas = 1, cores = 1, durationMs = 1_000), attempts = 3)
-        awaitThat { trial.workers.judge.starts == 1 }
+        awaitUntil { trial.workers.judge.starts == 1 }
         // No end can be acknowledged while the store is down, so the next leader hears of all failures at once.
         trial.store.faults.isDown = true
-        awaitThat { trial.workers.judge.starts == 3 && trial.workers.judge.runningCount == 0 }
+        awaitUntil { trial.workers.judge.starts == 3 && trial.workers.judge.runningCount == 0 }
         trial.stopLeader()
         trial.store.faults.isDown = false
         // The workers were tried from w0 on, so the newest failure reaches the next leader first.
@@ -40,12 +40,12 @@
     /** Guards against older jobs that all wait for a dark worker after a takeover, though its tasks are known. */
     @Test
     fun `a takeover beside a dark worker holds up only the jobs that may run there`() = runTest {
-        val trial = SchedulerTrial(this, seed = 6, workerCount = 3)
+        val trial = SchedulerSimulation(this, seed = 6, workerCount = 3)
         trial.lead()
         trial.awaitRoster()
         val rosterVersion = trial.rosterVersion()
         trial.workers.faults.cutOff += "w0"
-        awaitThat { trial.rosterVersion() != rosterVersion }
+        awaitUntil { trial.rosterVersion() != rosterVersion }
         trial.submit(JOB, step(replicas = 1, cores = 1, durationMs = 300))
         trial.stopLeader()
         trial.lead()
@@ -55,7 +55,7 @@
     /** Guards against a new job that a former leader, which has not noticed the takeover, starts as well (TWICE). */
     @Test
     fun `a job that two leaders learn of runs once`() = runTest {
-        val trial = SchedulerTrial(this, seed = 7, workerCount = 4)
+        val trial = SchedulerSimulation(this, seed = 7, workerCount = 4)
         trial.lead()
         trial.awaitRoster()
         trial.lead(lookDelayMs = { if (it == "w0") 800 else 0 })
@@ -75,7 +75,7 @@
     @ParameterizedTest
     @MethodSource("formerStarts")
     fun `a job that a worker names before the feed runs once`(case: FormerStart) = runTest {
-        val trial = SchedulerTrial(this, seed = 8, workerCount = 4)
+        val trial = SchedulerSimulation(this, seed = 8, workerCount = 4)
         trial.lead()
         trial.awaitRoster()
         trial.store.faults.lateFeedsMs["leader-2"] = 900
@@ -86,7 +86,7 @@
                 case.lookDelayMs
             },
         )
-        awaitThat { hasReadTables }
+        awaitUntil { hasReadTables }
         trial.submit(JOB, step(replicas = 6, cores = 4, durationMs = case.durationMs))
         assertTrue(trial.awaitPhase(JOB, JobPhase.COMPLETED, withinMs = 12_000))
         assertEquals(emptyList<String>(), trial.workers.judge.violations)
@@ -99,7 +99,7 @@
      */
     @Test
     fun `a roster write without an answer counts as stored`() = runTest {
-        val trial = SchedulerTrial(this, seed = 9, workerCount = 2)
+        val trial = SchedulerSimulation(this, seed = 9, workerCount = 2)
         var looks = 0
         trial.lead(
             lookDelayMs = {
@@ -111,14 +111,14 @@
         trial.store.faults.lostAnswers = 1.0
         val rosterVersion = trial.rosterVersion()
         trial.workers.faults.cutOff += "w0"
-        awaitThat { trial.rosterVersion() != rosterVersion }
+        awaitUntil { trial.rosterVersion() != rosterVersion }
         trial.workers.faults.cutOff.clear()
         // Answers are lost until the worker has answered a look, which is when the next but one begins.
         val looksBefore = looks
-        awaitThat { looks == looksBefore + 2 }
+        awaitUntil { looks == looksBefore + 2 }
         trial.store.faults.lostAnswers = 0.0
         trial.submit(JOB, step(replicas = 4, cores = 8, durationMs = 6_000))
-        awaitThat { trial.workers.judge.starts == 4 }
+        awaitUntil { trial.workers.judge.starts == 4 }
         trial.workers.faults.cutOff += "w0"
         trial.stopLeader()
         trial.workers.boot("w2")
@@ -132,15 +132,15 @@
     /** Guards against progress that an older write without an answer replaces seconds later (TWICE). */
     @Test
     fun `a late write of the journal does not undo a newer one`() = runTest {
-        val trial = SchedulerTrial(this, seed = 14, workerCount = 2)
+        val trial = SchedulerSimulation(this, seed = 14, workerCount = 2)
         trial.lead()
         trial.submit(JOB, step(replicas = 2, cores = 4, durationMs = 300), step(1, 4, 500, after = listOf(0)))
-        awaitThat { trial.workers.judge.starts == 2 }
+        awaitUntil { trial.workers.judge.starts == 2 }
         trial.store.faults.lateByMs = 3_000
         trial.store.faults.lostAnswers = 1.0
-        awaitThat { trial.workers.judge.starts == 3 && "lost" in trial.store.calls }
+        awaitUntil { trial.workers.judge.starts == 3 && "lost" in trial.store.calls }
         trial.store.faults.lostAnswers = 0.0
-        awaitThat { trial.phaseOf(JOB) == JobPhase.COMPLETED }
+        awaitUntil { trial.phaseOf(JOB) == JobPhase.COMPLETED }
         delay(2 * trial.store.faults.lateByMs)
         assertEquals(JobPhase.COMPLETED, trial.phaseOf(JOB))
         trial.stopLeader()
@@ -152,10 +152,10 @@
     /** Guards against tasks that wait for ever for a worker that is lost for good, without a takeover (LOST). */
     @Test
     fun `tasks of a worker that is lost start elsewhere when its leases are over`() = runTest {
-        val trial = SchedulerTrial(this, seed = 13, workerCount = 2)
+        val trial = SchedulerSimulation(this, seed = 13, workerCount = 2)
         trial.lead()
         trial.submit(JOB, step(replicas = 4, cores = 8, durationMs = 2_000))
-        awaitThat { trial.workers.judge.starts == 4 }
+        awaitUntil { trial.workers.judge.starts == 4 }
         trial.workers.crash("w0")
         assertTrue(trial.awaitPhase(JOB, JobPhase.COMPLETED, withinMs = 2 * MAX_LEASE_MS))
         assertEquals(emptyList<String>(), trial.workers.judge.violations)
@@ -164,11 +164,11 @@
     /** Guards against takeovers that read every job of the day, and against an ended job that starts again. */
     @Test
     fun `a takeover reads open jobs only, and a repeated submission of an ended one starts nothing`() = runTest {
-        val trial = SchedulerTrial(this, seed = 10, workerCount = 2)
+        val trial = SchedulerSimulation(this, seed = 10, workerCount = 2)
         trial.lead()
         trial.submit(JOB, step(replicas = 2, cores = 4, durationMs = 300))
-        awaitThat { trial.phaseOf(JOB) == JobPhase.COMPLETED }
-        awaitThat { trial.store.rowsOf(Tables.INTAKE).isEmpty() }
+        awaitUntil { trial.phaseOf(JOB) == JobPhase.COMPLETED }
+        awaitUntil { trial.store.rowsOf(Tables.INTAKE).isEmpty() }
         trial.stopLeader()
         trial.lead()
         trial.submit(JOB, step(replicas = 2, cores = 4, durationMs = 300))
@@ -177,7 +177,7 @@
         assertEquals(2, trial.workers.judge.starts)
     }
 
-    private fun SchedulerTrial.rosterVersion() = store.rowsOf(Tables.LEADER_NOTES).first {
+    private fun SchedulerSimulation.rosterVersion() = store.rowsOf(Tables.LEADER_NOTES).first {
         it.id == Tables.ROSTER_ROW
     }.version
 
