--- a/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClassRecording.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClassRecording.kt
@@ -1,8 +1,8 @@
 /**
- * Starts a process on loopback without a platform and ends it after a moment.
+ * Training run for the class data sharing archive: starts a process on loopback without a platform, then exits.
  *
- * The build runs it with the runtime's option that archives the loaded classes; a start from the archive takes about
- * half of the processor time, which decides how soon a restarted process serves on a machine with half a core.
+ * The build runs it with the JVM option that archives the loaded classes. A start from the archive takes about half
+ * of the processor time, which determines how soon a restarted process serves on a machine with half a core.
  */
 package dev.bronzeshore.server.cluster
 
@@ -36,7 +36,7 @@
 import java.util.concurrent.Executors
 import kotlin.system.exitProcess
 
-/** Time in which the process loads what it needs; its calls all fail, because there is no platform. */
+/** Run time, in which the process loads its classes; all its calls fail, because there is no platform. */
 private const val RUN_MS = 2_500L
 private const val PORTS = 4
 private const val LOOPBACK = "127.0.0.1"
@@ -65,7 +65,7 @@
         readiness = addresses[1],
         peers = addresses[2],
         metrics = addresses.last(),
-        // Its own ports answer in place of the platform's store and advice service.
+        // The process's own port stands in for the platform's store and advice service.
         storeAddress = "$LOOPBACK:${ports[0]}",
         adviceAddress = "$LOOPBACK:${ports[0]}",
         processorShare = 1.0,
--- a/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterMetrics.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterMetrics.kt
@@ -1,4 +1,4 @@
-/** Metrics of a process on the platform. Thread-safe. */
+/** Prometheus metrics of a cluster process. Thread-safe. */
 package dev.bronzeshore.server.cluster
 
 import dev.bronzeshore.scheduler.SchedulerMetrics
@@ -17,9 +17,9 @@
     private val answers = counter("bronzeshore_caller_answers_total", "Answers to callers.", "method", "status")
     private val starts = counter("bronzeshore_starts_total", "Start orders by result.", "result")
     private val ends = counter("bronzeshore_run_ends_total", "Ends of runs by kind.", "kind")
-    private val looks = counter("bronzeshore_worker_looks_total", "Reports asked of workers.")
+    private val statusPolls = counter("bronzeshore_worker_looks_total", "Reports asked of workers.")
     private val advice = counter("bronzeshore_advice_calls_total", "Calls for advice by outcome.", "outcome")
-    private val broken = counter("bronzeshore_invariants_broken_total", "Invariants found broken.")
+    private val invariantViolations = counter("bronzeshore_invariants_broken_total", "Invariants found broken.")
     private val journal = histogram("bronzeshore_journal_seconds", "Time of a journal write by outcome.", "outcome")
     private val jobs =
         histogram("bronzeshore_job_seconds", "Time from acceptance to the end of a job.", "queue", "phase")
@@ -34,14 +34,14 @@
     fun forScheduler() = SchedulerMetrics(
         start = { starts.labelValues(it).inc() },
         end = { ends.labelValues(it).inc() },
-        look = { looks.inc() },
+        look = { statusPolls.inc() },
         journalWrite = { outcome, ms -> journal.labelValues(outcome).observe(ms / MS_PER_SECOND) },
         jobEnded = { queue, phase, ms -> jobs.labelValues(queue, phase).observe(ms / MS_PER_SECOND) },
         advice = { advice.labelValues(it).inc() },
-        invariantBroken = { broken.inc() },
+        invariantBroken = { invariantViolations.inc() },
     )
 
-    /** All metrics in Prometheus' text format. */
+    /** All metrics in the Prometheus text format. */
     fun scrape(): ByteArray {
         val output = ByteArrayOutputStream()
         PrometheusTextFormatWriter.create().write(output, registry.scrape())
--- a/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterProcess.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterProcess.kt
@@ -1,4 +1,4 @@
-/** One process on the platform: it answers callers, and one of the processes leads. */
+/** A cluster process: each process answers callers, and one of them is the leader. */
 package dev.bronzeshore.server.cluster
 
 import arrow.core.right
@@ -39,26 +39,26 @@
 import java.util.UUID
 import java.util.concurrent.atomic.AtomicInteger
 
-/** Time in which the balancer learns that a process is not ready: two probes, one a second, and some slack. */
-private const val BALANCER_NOTICE_MS = 2_700L
+/** Time until the load balancer sees that a process is not ready: two probes, one per second, plus a margin. */
+private const val BALANCER_DETECTION_MS = 2_700L
 
-/** Time kept back from the grace of a stop signal for ending the process itself. */
+/** Part of the stop signal's grace period that is reserved for the exit of the process itself. */
 private const val EXIT_RESERVE_MS = 900L
 private const val STOP_POLL_MS = 50L
 
-/** A call for advice takes up to 1.5 s and may wait behind another one. */
+/** An advice call takes up to 1.5 s and may be queued behind another one. */
 private const val ADVICE_TIMEOUT_MS = 3_200L
 
-/** A process answers from memory; one that does not answer soon must not keep the next one from being asked. */
+/** Processes answer this call from memory; a peer that does not respond must not delay the call to the next one. */
 private const val CONFIG_TIMEOUT_MS = 250L
 
-/** Above this time of a write the store is slow, and so are its change feeds. */
-private const val ANNOUNCE_ABOVE_MS = 60L
+/** Above this write latency the change feeds of the store are slow as well, so new jobs are announced. */
+private const val ANNOUNCE_MIN_LATENCY_MS = 60L
 
-/** A leader that the store has answered this recently is served; its calls fail for want of its own time. */
+/** With a store response this recent the store is available; a late renewal is then due to the leader's own load. */
 private const val RECENT_SUCCESS_MS = 400L
 
-/** Two renewals; the others take over after 1.4 s without one. */
+/** Two renewal periods; the other processes take over after 1.4 s without a renewal. */
 private const val RENEWAL_OVERDUE_MS = 1_100L
 
 internal class ClusterProcess(
@@ -73,8 +73,8 @@
     private val selector = SelectorManager(traffic)
     private val platform = PlatformLink(selector, traffic, settings.storeAddress, settings.adviceAddress)
     private val health = StoreHealth(SteadyClock)
-    private val store = health.watching(platform.store)
-    private val peerCaller = newPeerCaller()
+    private val store = health.monitor(platform.store)
+    private val peerClient = newPeerClient()
     private val ownRow = NodeRow(
         settings.processName,
         bootId,
@@ -83,11 +83,11 @@
     )
     private val directory: NodeDirectory = NodeDirectory(store, ownRow) { election.currentTerm != null }
     private val config = ConfigWatcher(store, SteadyClock, { directory.peers }) { peer, version ->
-        peerCaller.call(peer, CONFIG_CALL, ConfigRequest(version), CONFIG_TIMEOUT_MS)?.content
+        peerClient.call(peer, CONFIG_CALL, ConfigRequest(version), CONFIG_TIMEOUT_MS)?.content
     }
     private val metrics = ClusterMetrics({ config.current?.version ?: 0 }, { election.currentTerm?.term ?: 0 })
-    private val localDesk: JobDesk = createStoreDesk(store, SteadyClock, { health.isServed }, scope)
-    private val desk = JobRequestForwarder(localDesk, health, { directory.peers }, peerCaller)
+    private val localJobs: JobDesk = createStoreDesk(store, SteadyClock, { health.isAvailable }, scope)
+    private val jobs = JobRequestForwarder(localJobs, health, { directory.peers }, peerClient)
     private val election: LeaderElection = LeaderElection(
         store,
         ownRow,
@@ -96,11 +96,11 @@
         LeaderEvents(
             gained = ::startTerm,
             lost = { endTerm() },
-            storeLost = { term -> scope.launch(control) { passOnUnlessServed(term) } },
+            storeLost = { term -> scope.launch(control) { handOverUnlessStoreAvailable(term) } },
         ),
     )
-    private val leaderLink: LeaderClient by lazy {
-        LeaderClient(ownRow, election, { directory.peers }, peerCaller, newPeerCaller())
+    private val leaderClient: LeaderClient by lazy {
+        LeaderClient(ownRow, election, { directory.peers }, peerClient, newPeerClient())
     }
     private var runner: LeaderTermRunner? = null
     private val inFlight = AtomicInteger()
@@ -109,13 +109,13 @@
     @Volatile
     private var isStopping = false
 
-    /** Starts all parts; returns once the ports listen. */
+    /** Starts all components; returns once the ports are bound. */
     suspend fun start() = withContext(control) {
         log.event("start", "process" to settings.processName, "data_centre" to settings.dataCentre, "boot" to bootId)
         startCallersPort(
             CallersPortAddresses(settings.callers, settings.readiness, settings.metrics),
             CallersPortContext(
-                desk = countedDesk(),
+                desk = trackedJobs(),
                 config = { config.current },
                 isReady = { config.current != null && !isStopping },
                 isStopping = { isStopping },
@@ -128,16 +128,16 @@
         scope.launch { directory.run() }
         scope.launch { config.run() }
         scope.launch { election.run() }
-        scope.launch { leaderLink.watch() }
+        scope.launch { leaderClient.watch() }
     }
 
-    /** Stops taking work, passes leadership on, and returns when the balancer and the callers have moved on. */
+    /** Hands over leadership and waits until the balancer has noticed and no request is in flight, within the grace. */
     suspend fun stop() {
         val startedAtMs = SteadyClock()
         isStopping = true
         log.event("stop", "process" to settings.processName, "leads" to (election.currentTerm != null))
-        scope.launch(control) { passOnLeadership() }
-        delay(BALANCER_NOTICE_MS)
+        scope.launch(control) { handOverLeadership() }
+        delay(BALANCER_DETECTION_MS)
         while (inFlight.get() > 0 &&
             SteadyClock() - startedAtMs < settings.bounds.stopSignalGraceMs - EXIT_RESERVE_MS
         ) {
@@ -146,25 +146,26 @@
         log.event("stopped", "in_flight" to inFlight.get(), "duration_ms" to SteadyClock() - startedAtMs)
     }
 
-    /** Leads on until another process has taken over; only without one is the term released unasked. */
-    private suspend fun passOnLeadership() {
+    /** Keeps leading until another process has taken over; releases the term if none does. */
+    private suspend fun handOverLeadership() {
         election.withdraw()
-        election.currentTerm?.let { passOn(it) }
+        election.currentTerm?.let { handOver(it) }
         election.release()
     }
 
-    private suspend fun passOn(term: LeaderTerm) {
-        if (leaderLink.handOver(term.term)) election.stepDown(term)
+    private suspend fun handOver(term: LeaderTerm) {
+        if (leaderClient.handOver(term.term)) election.stepDown(term)
     }
 
-    /** A busy leader's renewal may be late although the store serves it; only a second one in a row is a reason. */
-    private suspend fun passOnUnlessServed(term: LeaderTerm) {
+    /** One late renewal can be due to load alone: hands over if the store is unavailable or a second one is late. */
+    private suspend fun handOverUnlessStoreAvailable(term: LeaderTerm) {
         val now = SteadyClock()
-        val isServed = now - health.succeededAtMs < RECENT_SUCCESS_MS && now - election.renewedAtMs < RENEWAL_OVERDUE_MS
-        if (!isServed) passOn(term)
+        val isStoreAvailable =
+            now - health.lastSuccessAtMs < RECENT_SUCCESS_MS && now - election.renewedAtMs < RENEWAL_OVERDUE_MS
+        if (!isStoreAvailable) handOver(term)
     }
 
-    private fun newPeerCaller() = TimedPeerClient(PeerClient(selector, timeOfDay, scope), timeOfDay)
+    private fun newPeerClient() = TimedPeerClient(PeerClient(selector, timeOfDay, scope), timeOfDay)
 
     private suspend fun startTerm(won: LeaderTerm) {
         endTerm()
@@ -199,60 +200,60 @@
             directory.peers.map { peer ->
                 AdviceCaller(peer.processName) { step, workers ->
                     val request = AdviceRequest(step.jobId, step.occurrence, step.step, workers)
-                    peerCaller.call(peer, ADVICE_CALL, request, ADVICE_TIMEOUT_MS)?.toTickets()
+                    peerClient.call(peer, ADVICE_CALL, request, ADVICE_TIMEOUT_MS)?.toTickets()
                 }
             }
     }
 
     private fun handlers() = listOf(
         handlerOf(ADVICE_CALL) { AdviceReply.of(platform.advice?.invoke(it.stepName, it.workerIds)).right() },
-        handlerOf(SUBMIT_CALL) { onControl { desk.submitHere(it) }.right() },
-        handlerOf(STATE_CALL) { onControl { knownState(it.jobId) ?: localDesk.stateOf(it.jobId) }.right() },
-        handlerOf(PHASE_CALL) { PhaseReply(onControl { runner?.phaseOf(it.jobId) }).right() },
+        handlerOf(SUBMIT_CALL) { onControlThread { jobs.submitLocally(it) }.right() },
+        handlerOf(STATE_CALL) { onControlThread { stateInMemory(it.jobId) ?: localJobs.stateOf(it.jobId) }.right() },
+        handlerOf(PHASE_CALL) { PhaseReply(onControlThread { runner?.phaseOf(it.jobId) }).right() },
         handlerOf(HANDOVER_CALL) {
-            val isTaken = onControl {
-                health.isServed && election.takeOverFrom(it.term, "handed over", isOnlyCandidate = true)
+            val isTaken = onControlThread {
+                health.isAvailable && election.takeOverFrom(it.term, "handed over", isOnlyCandidate = true)
             }
             HandoverReply(isTaken).right()
         },
-        handlerOf(ANNOUNCE_CALL) { Announcement(onControl { runner?.takeAnnounced(it) } != null).right() },
+        handlerOf(ANNOUNCE_CALL) { AnnounceReply(onControlThread { runner?.takeAnnounced(it) } != null).right() },
         handlerOf(WATCH_CALL) { request ->
             delay(request.holdMs.coerceIn(0, WATCH_HOLD_MS))
             WatchReply(election.currentTerm != null).right()
         },
-        handlerOf(CANCEL_CALL) { CancelReply(onControl { localDesk.cancel(it.jobId) }).right() },
-        handlerOf(COUNT_CALL) { CountReply(onControl { localDesk.waitingIn(it.queue) }).right() },
-        handlerOf(CONFIG_CALL) { ConfigReply(config.contentAfter(it.knownVersion)).right() },
+        handlerOf(CANCEL_CALL) { CancelReply(onControlThread { localJobs.cancel(it.jobId) }).right() },
+        handlerOf(COUNT_CALL) { CountReply(onControlThread { localJobs.waitingIn(it.queue) }).right() },
+        handlerOf(CONFIG_CALL) { ConfigReply(config.contentNewerThan(it.knownVersion)).right() },
     )
 
     private suspend fun submit(job: AcceptedJob): SubmitAnswer {
-        val answer = desk.submit(job)
-        if (answer is SubmitAnswer.Accepted && health.typicalWriteMs > ANNOUNCE_ABOVE_MS) {
-            scope.launch(control) { runner?.takeAnnounced(job) ?: leaderLink.announce(job) }
+        val answer = jobs.submit(job)
+        if (answer is SubmitAnswer.Accepted && health.typicalWriteMs > ANNOUNCE_MIN_LATENCY_MS) {
+            scope.launch(control) { runner?.takeAnnounced(job) ?: leaderClient.announce(job) }
         }
         return answer
     }
 
-    private fun knownState(jobId: String): StateAnswer? = runner?.phaseOf(jobId)?.let { StateAnswer.Found(it) }
+    private fun stateInMemory(jobId: String): StateAnswer? = runner?.phaseOf(jobId)?.let { StateAnswer.Found(it) }
 
-    /** The leader answers from memory, which is faster and cheaper than the store. */
-    private suspend fun stateOf(jobId: String): StateAnswer = knownState(jobId)
-        ?: leaderLink.phaseOf(jobId)?.let { StateAnswer.Found(it) }
-        ?: desk.stateOf(jobId)
+    /** Asks the leader first: it answers from memory, which is faster and cheaper than the store. */
+    private suspend fun stateOf(jobId: String): StateAnswer = stateInMemory(jobId)
+        ?: leaderClient.phaseOf(jobId)?.let { StateAnswer.Found(it) }
+        ?: jobs.stateOf(jobId)
 
-    private suspend fun <T> onControl(work: suspend () -> T): T = withContext(control) { work() }
+    private suspend fun <T> onControlThread(work: suspend () -> T): T = withContext(control) { work() }
 
-    private fun countedDesk() = JobDesk(
-        submit = { counted { submit(it) } },
-        stateOf = { counted { stateOf(it) } },
-        cancel = { counted { desk.cancel(it) } },
-        waitingIn = { counted { desk.waitingIn(it) } },
+    private fun trackedJobs() = JobDesk(
+        submit = { trackInFlight { submit(it) } },
+        stateOf = { trackInFlight { stateOf(it) } },
+        cancel = { trackInFlight { jobs.cancel(it) } },
+        waitingIn = { trackInFlight { jobs.waitingIn(it) } },
     )
 
-    private suspend fun <T> counted(work: suspend () -> T): T {
+    private suspend fun <T> trackInFlight(work: suspend () -> T): T {
         inFlight.incrementAndGet()
         return try {
-            onControl(work)
+            onControlThread(work)
         } finally {
             inFlight.decrementAndGet()
         }
--- a/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterRunner.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterRunner.kt
@@ -1,4 +1,4 @@
-/** Runs a process on the platform until it is asked to stop. */
+/** Runs a cluster process until it receives a stop signal. */
 package dev.bronzeshore.server.cluster
 
 import arrow.core.Either
@@ -19,9 +19,9 @@
 private const val EXIT_BAD_SETTINGS = 1
 private const val EXIT_FAILED = 70
 
-/** Reads the settings at [file] and runs the process; returns only by the end of the process. */
+/** Reads the settings from [file] and runs the process; does not return before the process exits. */
 internal fun runClusterProcess(file: String) {
-    // Ktor's own shutdown hook would close the ports at once, while requests are still in flight.
+    // Ktor's own shutdown hook would close the ports while requests are still in flight.
     System.setProperty("io.ktor.server.engine.ShutdownHook", "false")
     val settings = loadSettings(file)
     val log = EventLog("process")
@@ -45,7 +45,7 @@
     }
 }
 
-/** Changed settings take effect with the next start; all of them name this machine or its bounds. */
+/** Only logs: all settings name this machine or its bounds, so changes take effect at the next start. */
 private fun logReload(file: String, inForce: ClusterSettings, log: EventLog) {
     val outcome = Either.catch { readClusterSettings(Files.readString(Path.of(file))) }.fold(
         ifLeft = { "unreadable: ${it.message}" },
--- a/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterSettingsFile.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterSettingsFile.kt
@@ -1,4 +1,4 @@
-/** The settings file of a process on the platform: JSON with comments, filled in from deploy/settings.json. */
+/** Settings file of a cluster process: JSON with comments, rendered from the template deploy/settings.json. */
 package dev.bronzeshore.server.cluster
 
 import arrow.core.Either
@@ -11,7 +11,7 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.json.Json
 
-/** Times and factors that hold on the platform. */
+/** Time limits and factors that the platform guarantees or requires. */
 @Serializable
 internal data class BoundsSection(
     val maxLeaseMs: Long,
@@ -47,7 +47,7 @@
 
 private const val MS_PER_SECOND = 1_000
 
-/** Reads the settings; a left result lists all faults. */
+/** Parses and validates the settings; a left result lists all errors. */
 internal fun readClusterSettings(text: String): Either<List<String>, ClusterSettings> {
     val file = Either.catch { SettingsJson.decodeFromString(ClusterSettingsFile.serializer(), text) }
         .fold({ return listOf(it.message ?: "malformed settings").left() }, { it })
--- a/server/src/main/kotlin/dev/bronzeshore/server/cluster/JobRequestForwarder.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/cluster/JobRequestForwarder.kt
@@ -1,8 +1,8 @@
 /**
- * Passes callers' requests to another process while the store does not serve this one.
+ * Forwards callers' requests to another process while the store is unavailable to this one.
  *
- * The store may turn away single machines and serve the others, and a connection may fall silent. The same job may be
- * stored through two processes: its row is written once.
+ * The store may refuse single machines while it serves the others, and a connection may stop delivering data. Storing
+ * the same job through two processes is safe: its row is written once.
  */
 package dev.bronzeshore.server.cluster
 
@@ -19,52 +19,55 @@
 import kotlinx.coroutines.withTimeoutOrNull
 import kotlin.random.Random
 
-/** Other processes that are asked for one request; the second covers a first one that is down. */
+/** Peers tried per request; the second one covers a first one that is down. */
 private const val MAX_PEERS = 2
 
-/** The store answers in 10 ms; after this time the own connection to it may have fallen silent. */
+/** The store answers in 10 ms; after this time this process's connection to it may be dead. */
 private const val HEDGE_AFTER_MS = 450L
 
-/** In a slow spell a second write would only add to the load. */
+/** Factor on the typical write time: in a slow period a hedged write would only add to the load. */
 private const val HEDGE_FACTOR = 3
 
-/** Longest time that one process is given to store a job for another one. */
+/** Timeout of one peer's attempt to store a forwarded job. */
 private const val PEER_SUBMIT_TIMEOUT_MS = 1_300L
 
-/** Time after which a caller that was refused may come back: most spells in which the store is lost last seconds. */
+/** Retry-after of rejected submissions: most outages of the store last seconds. */
 private const val STORE_RETRY_MS = 1_000L
 
 internal class JobRequestForwarder(
     private val local: JobDesk,
     private val health: StoreHealth,
     private val peers: () -> List<NodeRow>,
-    private val calls: TimedPeerClient,
+    private val client: TimedPeerClient,
 ) {
     private val log = EventLog("intake")
 
-    /** Stores a job that another process passes on, which is refused at once if the store serves neither of them. */
-    suspend fun submitHere(job: AcceptedJob): SubmitAnswer = if (health.isServed) local.submit(job) else notServed()
+    /** Stores a job that a peer has forwarded; rejects it at once if the store is unavailable here as well. */
+    suspend fun submitLocally(job: AcceptedJob): SubmitAnswer =
+        if (health.isAvailable) local.submit(job) else storeUnavailable()
 
-    suspend fun submit(job: AcceptedJob): SubmitAnswer = if (health.isServed) hedged(job) else passOn(job, notServed())
+    suspend fun submit(job: AcceptedJob): SubmitAnswer =
+        if (health.isAvailable) submitHedged(job) else forward(job, storeUnavailable())
 
-    private fun notServed() = SubmitAnswer.Rejected("the store does not serve this process", STORE_RETRY_MS, false)
+    private fun storeUnavailable() =
+        SubmitAnswer.Rejected("the store does not serve this process", STORE_RETRY_MS, false)
 
-    /** Waits for the own write for a moment, then lets another process write the same row as well. */
-    private suspend fun hedged(job: AcceptedJob): SubmitAnswer = coroutineScope {
+    /** Starts a write from this process; if it takes too long, a peer writes the same row as well. */
+    private suspend fun submitHedged(job: AcceptedJob): SubmitAnswer = coroutineScope {
         val own = async { local.submit(job) }
-        val early = withTimeoutOrNull(maxOf(HEDGE_AFTER_MS, HEDGE_FACTOR * health.typicalWriteMs)) { own.await() }
+        val earlyAnswer = withTimeoutOrNull(maxOf(HEDGE_AFTER_MS, HEDGE_FACTOR * health.typicalWriteMs)) { own.await() }
         when {
-            early is SubmitAnswer.Accepted -> early
-            early != null && health.isServed -> early
-            early != null -> passOn(job, early)
-            else -> firstAccepted(own, async { passOn(job, SubmitAnswer.Unknown("the own write is not answered")) })
+            earlyAnswer is SubmitAnswer.Accepted -> earlyAnswer
+            earlyAnswer != null && health.isAvailable -> earlyAnswer
+            earlyAnswer != null -> forward(job, earlyAnswer)
+            else -> firstAccepted(own, async { forward(job, SubmitAnswer.Unknown("the own write is not answered")) })
         }
     }
 
-    private suspend fun firstAccepted(own: Deferred<SubmitAnswer>, theirs: Deferred<SubmitAnswer>): SubmitAnswer {
+    private suspend fun firstAccepted(own: Deferred<SubmitAnswer>, peerAnswer: Deferred<SubmitAnswer>): SubmitAnswer {
         val (first, other) = select {
-            own.onAwait { it to theirs }
-            theirs.onAwait { it to own }
+            own.onAwait { it to peerAnswer }
+            peerAnswer.onAwait { it to own }
         }
         if (first is SubmitAnswer.Accepted) {
             other.cancel()
@@ -74,16 +77,16 @@
         return if (second is SubmitAnswer.Accepted) second else SubmitAnswer.Unknown("no process could store the job")
     }
 
-    /** [own] is how the own attempt ended; another process is asked unless the job is stored. */
-    private suspend fun passOn(job: AcceptedJob, own: SubmitAnswer): SubmitAnswer {
+    /** Tries peers until one stores the job; [own] is the outcome of this process's attempt. */
+    private suspend fun forward(job: AcceptedJob, own: SubmitAnswer): SubmitAnswer {
         var answer = own
-        for (peer in somePeers()) {
-            val theirs = calls.call(peer, SUBMIT_CALL, job, PEER_SUBMIT_TIMEOUT_MS)
-            log.event("submission_passed_on", "job" to job.jobId, "peer" to peer.processName, "outcome" to theirs)
-            // Once an attempt has an unknown outcome, a later refusal no longer shows that the job was not stored.
+        for (peer in randomPeers()) {
+            val peerAnswer = client.call(peer, SUBMIT_CALL, job, PEER_SUBMIT_TIMEOUT_MS)
+            log.event("submission_passed_on", "job" to job.jobId, "peer" to peer.processName, "outcome" to peerAnswer)
+            // After an attempt with an unknown outcome, a later rejection does not prove that the job was not stored.
             answer = when {
-                theirs is SubmitAnswer.Accepted -> return theirs
-                theirs is SubmitAnswer.Rejected && answer is SubmitAnswer.Rejected -> theirs
+                peerAnswer is SubmitAnswer.Accepted -> return peerAnswer
+                peerAnswer is SubmitAnswer.Rejected && answer is SubmitAnswer.Rejected -> peerAnswer
                 else -> SubmitAnswer.Unknown("no process could store the job for certain")
             }
         }
@@ -91,21 +94,21 @@
     }
 
     suspend fun stateOf(jobId: String): StateAnswer {
-        val own = if (health.isServed) local.stateOf(jobId) else StateAnswer.Unavailable
+        val own = if (health.isAvailable) local.stateOf(jobId) else StateAnswer.Unavailable
         if (own !is StateAnswer.Unavailable) return own
-        for (peer in somePeers()) {
-            val theirs = calls.call(peer, STATE_CALL, JobRequest(jobId))
-            if (theirs != null && theirs !is StateAnswer.Unavailable) return theirs
+        for (peer in randomPeers()) {
+            val peerAnswer = client.call(peer, STATE_CALL, JobRequest(jobId))
+            if (peerAnswer != null && peerAnswer !is StateAnswer.Unavailable) return peerAnswer
         }
         return own
     }
 
-    suspend fun cancel(jobId: String): Boolean = health.isServed &&
+    suspend fun cancel(jobId: String): Boolean = health.isAvailable &&
         local.cancel(jobId) ||
-        somePeers().any { calls.call(it, CANCEL_CALL, JobRequest(jobId))?.isStored == true }
+        randomPeers().any { client.call(it, CANCEL_CALL, JobRequest(jobId))?.isStored == true }
 
-    suspend fun waitingIn(queue: String): Int? = (if (health.isServed) local.waitingIn(queue) else null)
-        ?: somePeers().firstNotNullOfOrNull { calls.call(it, COUNT_CALL, CountRequest(queue))?.count }
+    suspend fun waitingIn(queue: String): Int? = (if (health.isAvailable) local.waitingIn(queue) else null)
+        ?: randomPeers().firstNotNullOfOrNull { client.call(it, COUNT_CALL, CountRequest(queue))?.count }
 
-    private fun somePeers(): List<NodeRow> = peers().shuffled(Random).take(MAX_PEERS)
+    private fun randomPeers(): List<NodeRow> = peers().shuffled(Random).take(MAX_PEERS)
 }
--- a/server/src/main/kotlin/dev/bronzeshore/server/cluster/NodeDirectory.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/cluster/NodeDirectory.kt
@@ -1,4 +1,4 @@
-/** The processes of the cluster, which find each other through the store. */
+/** Process discovery: each process registers itself in the store and reads the rows of the others. */
 package dev.bronzeshore.server.cluster
 
 import arrow.core.Either
@@ -17,7 +17,7 @@
 
 private const val RETRY_MS = 300L
 
-/** Processes come and go a few times a day; a leader needs new ones soon, because they share its calls for advice. */
+/** Processes join and leave a few times a day; the leader needs new ones soon, to spread its advice calls. */
 private const val REFRESH_LEADER_MS = 2_000L
 private const val REFRESH_OTHERS_MS = 10_000L
 
@@ -28,7 +28,7 @@
 ) {
     private val log = PartLog("nodes")
 
-    /** All other processes, as far as known. */
+    /** All other processes that were registered at the last refresh. */
     @Volatile
     var peers: List<NodeRow> = emptyList()
         private set
--- a/server/src/main/kotlin/dev/bronzeshore/server/cluster/PeerMessages.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/cluster/PeerMessages.kt
@@ -1,4 +1,4 @@
-/** Calls between the processes of a cluster. */
+/** Messages and call types between the processes of a cluster. */
 package dev.bronzeshore.server.cluster
 
 import dev.bronzeshore.core.cluster.AcceptedJob
@@ -15,7 +15,7 @@
     val stepName: StepName get() = StepName(jobId, occurrence, step)
 }
 
-/** [tickets] holds worker and ticket by turns; it is null when the service gave no answer. */
+/** [tickets] holds worker ids and tickets alternately; it is null if the advice service did not respond. */
 @Serializable
 internal data class AdviceReply(val tickets: List<String>?) {
     fun toTickets(): List<AdviceTicket>? = tickets?.chunked(2)?.map { (worker, ticket) -> AdviceTicket(worker, ticket) }
@@ -40,7 +40,7 @@
 @Serializable
 internal data class ConfigRequest(val knownVersion: Long)
 
-/** The configuration as the operators wrote it; null when the asked process knows no newer one. */
+/** The configuration as the operators wrote it; null if the called process has no newer one. */
 @Serializable
 internal class ConfigReply(val content: ByteArray?)
 
@@ -50,7 +50,7 @@
 @Serializable
 internal data class WatchReply(val isLeading: Boolean)
 
-/** [phase] is null when the leader does not know the job. */
+/** [phase] is null if the leader does not know the job. */
 @Serializable
 internal data class PhaseReply(val phase: JobPhase?)
 
@@ -61,9 +61,9 @@
 internal data class HandoverReply(val isTaken: Boolean)
 
 @Serializable
-internal data class Announcement(val isTaken: Boolean)
+internal data class AnnounceReply(val isTaken: Boolean)
 
-internal val ANNOUNCE_CALL = CallType("announce", AcceptedJob.serializer(), Announcement.serializer())
+internal val ANNOUNCE_CALL = CallType("announce", AcceptedJob.serializer(), AnnounceReply.serializer())
 internal val WATCH_CALL = CallType("watch", WatchRequest.serializer(), WatchReply.serializer())
 internal val PHASE_CALL = CallType("phase", JobRequest.serializer(), PhaseReply.serializer())
 internal val HANDOVER_CALL = CallType("handover", HandoverRequest.serializer(), HandoverReply.serializer())
--- a/server/src/main/kotlin/dev/bronzeshore/server/cluster/StoreHealth.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/cluster/StoreHealth.kt
@@ -1,4 +1,4 @@
-/** Whether the store serves this process. Used on the control thread. */
+/** Tracks whether the store is available to this process. Confined to the control thread. */
 package dev.bronzeshore.server.cluster
 
 import arrow.core.Either
@@ -9,69 +9,69 @@
 import dev.bronzeshore.core.cluster.ReadFailure
 import dev.bronzeshore.core.cluster.StoreOutcome
 
-/** Failures in a row after which the store counts as lost; a single call may meet a full part or a reset connection. */
-private const val FAILURES = 2
+/** Consecutive failures before the store is unavailable; one call may hit a full partition or a reset connection. */
+private const val FAILURE_THRESHOLD = 2
 
-/** A failure counts only if no call has succeeded for this time, or for some times the typical time of a call. */
-private const val RECENT_MS = 250L
-private const val RECENT_CALLS = 3
+/** Time without a success before the store is unavailable: this or a multiple of the typical latency, if longer. */
+private const val MIN_FAILURE_PERIOD_MS = 250L
+private const val FAILURE_PERIOD_LATENCY_FACTOR = 3
 
 internal class StoreHealth(private val clock: ClockMs) {
     private val log = EventLog("store")
     private val writes = LatencyEstimate()
-    private var failures = 0
+    private var consecutiveFailures = 0
 
-    /** Typical time of a recent write. */
+    /** Typical latency of recent writes. */
     val typicalWriteMs: Long get() = writes.typicalMs
 
-    /** Steady time of the last call that the store answered. */
-    var succeededAtMs: Long = clock()
+    /** Monotonic time of the last call that the store answered. */
+    var lastSuccessAtMs: Long = clock()
         private set
 
-    /** False while the store does not serve this process, as far as its last calls show. */
-    var isServed: Boolean = true
+    /** False while the store does not serve this process, judging by its latest calls. */
+    var isAvailable: Boolean = true
         private set
 
-    /** Watches the calls of [store]. */
-    fun watching(store: ClusterStore) = ClusterStore(
+    /** Wraps [store] so that the outcome of each call is recorded. */
+    fun monitor(store: ClusterStore) = ClusterStore(
         transact = { transaction ->
             val startedAtMs = clock()
             store.transact(transaction).also {
                 writes.observe(clock() - startedAtMs)
-                note(it)
+                record(it)
             }
         },
-        readPage = { query -> store.readPage(query).also { note(it) } },
-        changes = { table, version, waitMs -> store.changes(table, version, waitMs).also { note(it) } },
+        readPage = { query -> store.readPage(query).also { record(it) } },
+        changes = { table, version, waitMs -> store.changes(table, version, waitMs).also { record(it) } },
     )
 
-    private fun note(outcome: StoreOutcome) = when (outcome) {
-        is StoreOutcome.Applied, is StoreOutcome.Conflict -> succeeded()
-        is StoreOutcome.NotApplied -> failed(outcome.reason)
-        is StoreOutcome.Unknown -> failed(outcome.reason)
+    private fun record(outcome: StoreOutcome) = when (outcome) {
+        is StoreOutcome.Applied, is StoreOutcome.Conflict -> recordSuccess()
+        is StoreOutcome.NotApplied -> recordFailure(outcome.reason)
+        is StoreOutcome.Unknown -> recordFailure(outcome.reason)
     }
 
-    private fun note(answer: Either<ReadFailure, Any>) = answer.fold(
-        ifLeft = { if (it is ReadFailure.Unavailable) failed(it.reason) else succeeded() },
-        ifRight = { succeeded() },
+    private fun record(answer: Either<ReadFailure, Any>) = answer.fold(
+        ifLeft = { if (it is ReadFailure.Unavailable) recordFailure(it.reason) else recordSuccess() },
+        ifRight = { recordSuccess() },
     )
 
-    private fun succeeded() {
-        failures = 0
-        succeededAtMs = clock()
-        if (!isServed) log.event("regained")
-        isServed = true
+    private fun recordSuccess() {
+        consecutiveFailures = 0
+        lastSuccessAtMs = clock()
+        if (!isAvailable) log.event("regained")
+        isAvailable = true
     }
 
-    private fun failed(reason: String) {
-        failures++
-        if (!isServed ||
-            failures < FAILURES ||
-            clock() - succeededAtMs < maxOf(RECENT_MS, RECENT_CALLS * writes.typicalMs)
+    private fun recordFailure(reason: String) {
+        consecutiveFailures++
+        if (!isAvailable ||
+            consecutiveFailures < FAILURE_THRESHOLD ||
+            clock() - lastSuccessAtMs < maxOf(MIN_FAILURE_PERIOD_MS, FAILURE_PERIOD_LATENCY_FACTOR * writes.typicalMs)
         ) {
             return
         }
-        isServed = false
-        log.event("lost", "cause" to reason, "since_success_ms" to clock() - succeededAtMs)
+        isAvailable = false
+        log.event("lost", "cause" to reason, "since_success_ms" to clock() - lastSuccessAtMs)
     }
 }
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/ConfigWatcherTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/ConfigWatcherTest.kt
@@ -23,7 +23,7 @@
         private fun follower(number: Int): ConfigWatcher {
             val peers = { List(3) { NodeRow("n$it", "boot", "n$it:1") }.filter { it.processName != "n$number" } }
             return ConfigWatcher(store.asSeenBy("n$number"), { scope.currentTime }, peers) { peer, version ->
-                followers[peer.processName.drop(1).toInt()].contentAfter(version)
+                followers[peer.processName.drop(1).toInt()].contentNewerThan(version)
             }
         }
 
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/LeaderClientTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/LeaderClientTest.kt
@@ -57,7 +57,7 @@
                 },
                 handlerOf(ANNOUNCE_CALL) {
                     delay(AWAIT_MS)
-                    Announcement(true).right()
+                    AnnounceReply(true).right()
                 },
             )
             val serverJob = Job()
@@ -66,7 +66,7 @@
             return election(leaderRow.copy(peerAddress = "$HOST:$port")) to serverJob
         }
 
-        fun newCaller() = TimedPeerClient(PeerClient(selector, System::currentTimeMillis, scope), System::currentTimeMillis)
+        fun newClient() = TimedPeerClient(PeerClient(selector, System::currentTimeMillis, scope), System::currentTimeMillis)
     }
 
     /** Guards against a busy leader that is taken for dead because calls that it answers late end their connection. */
@@ -83,7 +83,7 @@
         awaitUntil { follower.knownLeader != null }
         val terms = QueueTerms("queue", "service", 0, 1, 1.0, 0)
         val job = AcceptedJob("0000000000000001", JobDescription("payload", emptyList()), terms, 0)
-        val link = LeaderClient(own, follower, { emptyList() }, setup.newCaller(), setup.newCaller())
+        val link = LeaderClient(own, follower, { emptyList() }, setup.newClient(), setup.newClient())
         launch { link.watch() }
         repeat(LOOKS) {
             launch { link.announce(job) }
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/SchedulerSimulationTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/SchedulerSimulationTest.kt
@@ -14,7 +14,7 @@
 private const val RECOVERY_MS = 60_000L
 private const val SEEDS = 6L
 
-/** Guards against tasks that run twice, overfilled workers, and work that is lost or counted as done without an end. */
+/** Guards against tasks that run twice, overfilled workers, and work that is lost or trackInFlight as done without an end. */
 class SchedulerSimulationTest {
     /** A kind of trouble, done at a random moment. */
     internal data class Trouble(val name: String, val act: suspend SchedulerSimulation.() -> Unit) {
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/StoreHealthTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/StoreHealthTest.kt
@@ -22,18 +22,18 @@
     fun `refusals count once no call has succeeded for a while`() = runTest {
         val store = StoreStandIn(Random(1), backgroundScope)
         val health = StoreHealth { currentTime }
-        val watched = health.watching(store.asSeenBy("node"))
+        val watched = health.monitor(store.asSeenBy("node"))
         watched.readPage(query)
         store.faults.refusedCallers += "node"
         watched.readPage(query)
         watched.readPage(query)
-        assertEquals(true, health.isServed)
+        assertEquals(true, health.isAvailable)
         delay(400)
         watched.readPage(query)
-        assertEquals(false, health.isServed)
+        assertEquals(false, health.isAvailable)
         store.faults.refusedCallers.clear()
         watched.readPage(query)
-        assertEquals(true, health.isServed)
+        assertEquals(true, health.isAvailable)
     }
 
     /** Guards against a slow spell that is taken for an outage. */
@@ -41,11 +41,11 @@
     fun `a slow store still serves`() = runTest {
         val store = StoreStandIn(Random(1), backgroundScope)
         val health = StoreHealth { currentTime }
-        val watched = health.watching(store.asSeenBy("node"))
+        val watched = health.monitor(store.asSeenBy("node"))
         store.faults.latencyMs = 400
         repeat(6) { watched.transact(StoreTransaction()) }
         store.faults.lostAnswers = 1.0
         repeat(1) { watched.transact(StoreTransaction()) }
-        assertEquals(true, health.isServed)
+        assertEquals(true, health.isAvailable)
     }
 }
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/TakeoverTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/TakeoverTest.kt
@@ -18,7 +18,7 @@
 private const val NOTHING_HAPPENS_MS = 3_000L
 
 class TakeoverTest {
-    /** Guards against failed runs that are counted short when their ends reach a new leader in any order (BUDGET). */
+    /** Guards against failed runs that are trackInFlight short when their ends reach a new leader in any order (BUDGET). */
     @Test
     fun `failed runs count across a takeover`() = runTest {
         val trial = SchedulerSimulation(this, seed = 4, workerCount = 3)
