--- a/peering/src/main/kotlin/dev/bronzeshore/peering/CallHandler.kt
+++ b/peering/src/main/kotlin/dev/bronzeshore/peering/CallHandler.kt
@@ -1,4 +1,4 @@
-/** Binds a typed message to the function that answers it. */
+/** Typed calls and the functions that handle them. */
 @file:OptIn(ExperimentalSerializationApi::class)
 
 package dev.bronzeshore.peering
@@ -11,20 +11,20 @@
 import kotlinx.serialization.ExperimentalSerializationApi
 import kotlinx.serialization.KSerializer
 
-/** The name and the message types of one call; both sides use the same value. */
+/** Name and message types of a call; client and server use the same value. */
 public class CallType<Q, A>(
     public val name: String,
     internal val request: KSerializer<Q>,
     internal val reply: KSerializer<A>,
 )
 
-/** Answers calls of one type. */
+/** Handles calls of one type: decodes the request and encodes the reply. */
 public class CallHandler internal constructor(
     internal val call: String,
     internal val answer: suspend (ByteArray) -> Either<Fault, ByteArray>,
 )
 
-/** Creates a handler that decodes the request, calls [handle] and encodes the reply. */
+/** Creates a handler that replies to a call of [type] with the result of [handle]. */
 public fun <Q, A> handlerOf(type: CallType<Q, A>, handle: suspend (Q) -> Either<Fault, A>): CallHandler =
     CallHandler(type.name) { body ->
         Either.catch { WireCbor.decodeFromByteArray(type.request, body) }
--- a/peering/src/main/kotlin/dev/bronzeshore/peering/Frame.kt
+++ b/peering/src/main/kotlin/dev/bronzeshore/peering/Frame.kt
@@ -1,4 +1,4 @@
-/** The unit of exchange between bronzeshore processes. */
+/** The message format between Bronzeshore processes. */
 @file:OptIn(ExperimentalSerializationApi::class)
 
 package dev.bronzeshore.peering
@@ -8,13 +8,13 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.cbor.ByteString
 
-/** A call or its reply; [id] matches a reply with its call on one connection. */
+/** A call or its reply; [id] correlates a reply with its call and is unique per connection. */
 @Serializable
 internal class Frame(
     val id: Long,
     val call: String,
     val isReply: Boolean,
-    /** The callee drops a call whose deadline has passed; 0 in replies. */
+    /** Wall-clock time after which the callee drops the call; 0 in replies. */
     val deadlineMs: Long,
     @ByteString val body: ByteArray = ByteArray(0),
     val fault: Fault? = null,
--- a/peering/src/main/kotlin/dev/bronzeshore/peering/FrameCodec.kt
+++ b/peering/src/main/kotlin/dev/bronzeshore/peering/FrameCodec.kt
@@ -1,4 +1,4 @@
-/** Reads and writes frames: a 4-byte length, then that many bytes of CBOR. */
+/** Reads and writes frames: a 4-byte length followed by that many bytes of CBOR. */
 package dev.bronzeshore.peering
 
 import arrow.core.Either
@@ -17,7 +17,7 @@
 import kotlinx.serialization.decodeFromByteArray
 import kotlinx.serialization.encodeToByteArray
 
-/** Largest frame body; a longer one is refused before any memory is reserved for it. */
+/** Maximum size of an encoded frame; a larger one is rejected before memory is allocated for it. */
 public const val MAX_FRAME_BYTES: Int = 1_048_576
 
 @OptIn(ExperimentalSerializationApi::class)
@@ -36,7 +36,7 @@
     } catch (failure: IllegalArgumentException) {
         Fault(ResultCode.MALFORMED_FRAME, "The frame is not valid CBOR: ${failure.message}").left()
     } catch (failure: IndexOutOfBoundsException) {
-        // The CBOR reader reports some truncated inputs this way rather than with a SerializationException.
+        // The CBOR decoder throws this instead of a SerializationException for some truncated inputs.
         Fault(ResultCode.MALFORMED_FRAME, "The frame is truncated: ${failure.message}").left()
     }
 
--- a/peering/src/main/kotlin/dev/bronzeshore/peering/PeerClient.kt
+++ b/peering/src/main/kotlin/dev/bronzeshore/peering/PeerClient.kt
@@ -1,4 +1,4 @@
-/** Calls other processes; one connection for each peer address, opened on demand. */
+/** Client for calls to other processes, with one connection per peer address that is opened on demand. */
 @file:OptIn(ExperimentalSerializationApi::class)
 
 package dev.bronzeshore.peering
@@ -17,18 +17,18 @@
 import kotlinx.serialization.ExperimentalSerializationApi
 import java.util.concurrent.ConcurrentHashMap
 
-/** Thread-safe; a broken connection fails its calls in flight and is opened again by the next call. */
+/** Thread-safe; a broken connection fails its in-flight calls, and the next call opens a new one. */
 public class PeerClient(
     private val selector: SelectorManager,
     private val clock: ClockMs,
     private val scope: CoroutineScope,
 ) {
-    private val links = ConcurrentHashMap<String, PeerConnection>()
+    private val connections = ConcurrentHashMap<String, PeerConnection>()
 
     /**
      * Calls the process at [address] and waits for its reply until [deadlineMs].
      *
-     * A fault with code `PEER_UNAVAILABLE` means that the call may or may not have been carried out.
+     * A fault with code `PEER_UNAVAILABLE` means that the outcome is unknown: the call may have been executed.
      */
     public suspend fun <Q, A> call(
         address: String,
@@ -37,9 +37,9 @@
         deadlineMs: Long,
     ): Either<Fault, A> = try {
         val body = WireCbor.encodeToByteArray(type.request, request)
-        val link = linkTo(address)
-        val frame = withTimeoutOrNull(deadlineMs - clock()) { link.call(type.name, body, deadlineMs) }
-        if (frame == null) link.disconnect()
+        val connection = connectionTo(address)
+        val frame = withTimeoutOrNull(deadlineMs - clock()) { connection.call(type.name, body, deadlineMs) }
+        if (frame == null) connection.disconnect()
         frame?.toReply(type) ?: unavailable(address, "no reply before the deadline").left()
     } catch (failure: CancellationException) {
         throw failure
@@ -47,12 +47,12 @@
         unavailable(address, failure.message).left()
     }
 
-    /** Ends the connection to [address] after a call without a reply; it may have fallen silent for good. */
+    /** Closes the connection to [address] after a call without a reply, because it may be dead without a reset. */
     public fun disconnect(address: String) {
-        links[address]?.disconnect()
+        connections[address]?.disconnect()
     }
 
-    private fun linkTo(address: String): PeerConnection = links.compute(address) { _, old ->
+    private fun connectionTo(address: String): PeerConnection = connections.compute(address) { _, old ->
         old?.takeUnless { it.isClosed } ?: PeerConnection(selector, address, scope)
     }!!
 
--- a/peering/src/main/kotlin/dev/bronzeshore/peering/PeerConnection.kt
+++ b/peering/src/main/kotlin/dev/bronzeshore/peering/PeerConnection.kt
@@ -1,4 +1,4 @@
-/** One connection to a peer with its calls in flight. */
+/** A connection to a peer with its in-flight calls. */
 package dev.bronzeshore.peering
 
 import io.ktor.network.selector.SelectorManager
@@ -48,13 +48,13 @@
         }
     }
 
-    /** Ends the connection after a call without a reply: a connection can fall silent for good without a reset. */
+    /** Closes the connection after a call without a reply: a connection can be dead without having been reset. */
     fun disconnect(): Unit = close(IOException("a call on this connection got no reply in time"))
 
     private suspend fun send(frame: Frame) = try {
         writeLock.withLock { FrameCodec.write(output ?: connect().also { output = it }, frame) }
     } catch (failure: Exception) {
-        // A cancelled write may leave half a frame on the connection, so the link is never used again.
+        // A cancelled write may leave a partial frame on the connection, so it is never used again.
         close(failure)
         throw failure
     }
--- a/peering/src/main/kotlin/dev/bronzeshore/peering/PeerServer.kt
+++ b/peering/src/main/kotlin/dev/bronzeshore/peering/PeerServer.kt
@@ -1,4 +1,4 @@
-/** Accepts connections from other processes and answers their calls. */
+/** Server for calls from other processes. */
 package dev.bronzeshore.peering
 
 import dev.bronzeshore.core.ClockMs
@@ -21,7 +21,7 @@
 import kotlinx.coroutines.sync.Mutex
 import kotlinx.coroutines.sync.withLock
 
-/** Listens on one address; [handlers] is fixed at construction, so it needs no synchronisation. */
+/** Dispatches calls to [handlers], which are fixed at construction and need no synchronization. */
 public class PeerServer(
     private val selector: SelectorManager,
     private val clock: ClockMs,
@@ -30,7 +30,7 @@
 ) {
     private val handlersByCall = handlers.associateBy { it.call }
 
-    /** Binds the address, then serves connections in [scope] until it is cancelled. */
+    /** Binds the address, serves connections in [scope] until it is cancelled, and returns the bound port. */
     public suspend fun start(host: String, port: Int, scope: CoroutineScope): Int {
         val server = aSocket(selector).tcp().bind(host, port) { reuseAddress = true }
         scope.launch { acceptAll(server, scope) }
@@ -49,7 +49,7 @@
     } catch (failure: CancellationException) {
         throw failure
     } catch (failure: Exception) {
-        log.debug { "A connection ended: ${failure.message}." }
+        log.debug { "Connection failed: ${failure.message}." }
     }
 
     private suspend fun readCalls(socket: Socket) = coroutineScope {
@@ -63,7 +63,7 @@
     }
 
     private fun reject(fault: Fault): Frame? {
-        log.warn { "Closed a connection, code ${fault.code.number}: ${fault.message}" }
+        log.warn { "Closed a connection after a malformed frame, code ${fault.code.number}: ${fault.message}" }
         return null
     }
 
--- a/peering/src/test/kotlin/dev/bronzeshore/peering/FrameCodecTest.kt
+++ b/peering/src/test/kotlin/dev/bronzeshore/peering/FrameCodecTest.kt
@@ -18,18 +18,18 @@
     private fun framed(lengthBytes: Int, body: ByteArray = ByteArray(0)) =
         ByteBuffer.allocate(Int.SIZE_BYTES + body.size).putInt(lengthBytes).put(body).array()
 
-    /** Guards against memory that is reserved for a length which a faulty peer has made up. */
+    /** Guards against memory allocation for an invalid length from a faulty peer. */
     @Test
-    fun `a length out of bounds is refused before the body is read`() = runTest {
+    fun `a length out of range is rejected before the body is read`() = runTest {
         listOf(Int.MIN_VALUE, -1, 0, MAX_FRAME_BYTES + 1, Int.MAX_VALUE).forEach { lengthBytes ->
             val result = FrameCodec.read(ByteReadChannel(framed(lengthBytes)))
             assertEquals(ResultCode.MALFORMED_FRAME, result.leftOrNull()?.code, "length $lengthBytes")
         }
     }
 
-    /** Guards against an exception that ends the process instead of the connection; 20,000 inputs, seed 5. */
+    /** Guards against malformed frames that end the process instead of the connection; 20,000 inputs, seed 5. */
     @Test
-    fun `changed, truncated and random bodies are decoded or refused`() {
+    fun `corrupted, truncated and random bodies are decoded or rejected`() {
         val random = Random(5)
         repeat(20_000) { round ->
             val bytes = when (round % 3) {
--- a/peering/src/test/kotlin/dev/bronzeshore/peering/PeerCallTest.kt
+++ b/peering/src/test/kotlin/dev/bronzeshore/peering/PeerCallTest.kt
@@ -41,7 +41,7 @@
         selector.close()
     }
 
-    /** Guards against replies that reach the wrong call on a shared connection. */
+    /** Guards against replies that are delivered to the wrong call on a shared connection. */
     @Test
     fun `each of 500 concurrent calls gets its own reply`() = runBlocking {
         val address = "127.0.0.1:${startServer()}"
@@ -51,7 +51,7 @@
     }
 
     @Test
-    fun `a call that fails says why`() = runBlocking {
+    fun `a failed call reports its cause`() = runBlocking {
         class Case(val name: String, val type: CallType<Long, Long>, val timeoutMs: Long, val code: ResultCode)
         val address = "127.0.0.1:${startServer()}"
         val client = PeerClient(selector, clock, scope)
@@ -63,13 +63,13 @@
             val result = client.call(address, case.type, 1, clock() + case.timeoutMs)
             assertEquals(case.code, result.leftOrNull()?.code, case.name)
         }
-        val nobody = client.call("127.0.0.1:1", double, 1, clock() + TIMEOUT_MS)
-        assertEquals(ResultCode.PEER_UNAVAILABLE, nobody.leftOrNull()?.code)
+        val unreachable = client.call("127.0.0.1:1", double, 1, clock() + TIMEOUT_MS)
+        assertEquals(ResultCode.PEER_UNAVAILABLE, unreachable.leftOrNull()?.code)
     }
 
-    /** Guards against a malformed frame that takes more than its own connection down. */
+    /** Guards against a malformed frame that affects more than its own connection. */
     @Test
-    fun `a malformed frame closes its connection and the server goes on`() = runBlocking {
+    fun `a malformed frame closes its connection and the server keeps running`() = runBlocking {
         val port = startServer()
         Socket("127.0.0.1", port).use { socket ->
             socket.soTimeout = TIMEOUT_MS.toInt()
