--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/Await.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/Await.kt
@@ -1,4 +1,4 @@
-/** Waiting on conditions in tests, on virtual or real time. */
+/** Waiting for conditions in tests, on virtual or real time. */
 package dev.bronzeshore.server.cluster
 
 import kotlinx.coroutines.delay
@@ -6,15 +6,15 @@
 
 private const val POLL_MS = 10L
 
-/** Longest wait of a test that states no bound of its own. */
-internal const val AWAIT_MS = 10_000L
+/** Timeout of waits that specify none. */
+internal const val DEFAULT_AWAIT_MS = 10_000L
 
-/** True once [condition] holds, false if it does not hold within [withinMs]. */
-internal suspend fun isReached(withinMs: Long, condition: () -> Boolean): Boolean = withTimeoutOrNull(withinMs) {
+/** Polls until [condition] holds; false if it does not hold within [withinMs]. */
+internal suspend fun holdsWithin(withinMs: Long, condition: () -> Boolean): Boolean = withTimeoutOrNull(withinMs) {
     while (!condition()) delay(POLL_MS)
     true
 } ?: false
 
-/** Fails if [condition] does not hold within [withinMs]. */
-internal suspend fun awaitUntil(withinMs: Long = AWAIT_MS, condition: () -> Boolean) =
-    check(isReached(withinMs, condition)) { "The condition does not hold within $withinMs ms." }
+/** Polls until [condition] holds; throws if it does not hold within [withinMs]. */
+internal suspend fun awaitUntil(withinMs: Long = DEFAULT_AWAIT_MS, condition: () -> Boolean) =
+    check(holdsWithin(withinMs, condition)) { "The condition does not hold within $withinMs ms." }
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/ClusterSettingsFileTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/ClusterSettingsFileTest.kt
@@ -1,4 +1,4 @@
-/** Settings of a process on the platform, valid and faulty. */
+/** Parsing of valid and invalid settings of a cluster process. */
 package dev.bronzeshore.server.cluster
 
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -10,7 +10,7 @@
 class ClusterSettingsFileTest {
     private val template = Files.readString(Path.of("../deploy/settings.json"))
 
-    /** Replaces each placeholder of the template as the platform does. */
+    /** Renders the template as the platform does, with test values. */
     private fun rendered(address: String): String = Regex("\\{\\{([^}|]+)(\\|json)?}}").replace(template) { match ->
         val isText = match.groupValues[2].isNotEmpty()
         when {
@@ -24,15 +24,15 @@
 
     /** Guards against a template that the process cannot read. */
     @Test
-    fun `reads the template of the deployment`() {
+    fun `the rendered deployment template is valid`() {
         val settings = readClusterSettings(rendered("10.0.0.1:80"))
         assertEquals(5, settings.getOrNull()?.peers?.port)
         assertEquals(5_000L, settings.getOrNull()?.bounds?.stopSignalGraceMs)
     }
 
-    /** Guards against faults that are reported one by one. */
+    /** Guards against validation that stops at the first error. */
     @Test
-    fun `lists all faults at once`() {
+    fun `all errors are reported at once`() {
         val faults = readClusterSettings(rendered("nowhere")).swap().getOrNull().orEmpty()
         assertTrue(faults.size >= 3, faults.toString())
     }
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/ConfigWatcherTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/ConfigWatcherTest.kt
@@ -1,4 +1,4 @@
-/** A new configuration is in force within its bound although the store's feed does not bring it. */
+/** A new configuration is in force within its time limit even if the store's change feed does not deliver it. */
 package dev.bronzeshore.server.cluster
 
 import dev.bronzeshore.core.cluster.NodeRow
@@ -12,18 +12,18 @@
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
-/** Time within which a configuration is in force; the platform's bound on the users' sites. */
-private const val APPLY_MS = 2_000L
+/** Time limit for a new configuration to be in force, as the platform sets it in production. */
+private const val APPLY_LIMIT_MS = 2_000L
 
 class ConfigWatcherTest {
     private class Setup(private val scope: TestScope) {
         val store = StoreStandIn(Random(1), scope.backgroundScope)
-        val followers = List(3) { follower(it) }
+        val watchers = List(3) { watcher(it) }
 
-        private fun follower(number: Int): ConfigWatcher {
+        private fun watcher(number: Int): ConfigWatcher {
             val peers = { List(3) { NodeRow("n$it", "boot", "n$it:1") }.filter { it.processName != "n$number" } }
             return ConfigWatcher(store.asSeenBy("n$number"), { scope.currentTime }, peers) { peer, version ->
-                followers[peer.processName.drop(1).toInt()].contentNewerThan(version)
+                watchers[peer.processName.drop(1).toInt()].contentNewerThan(version)
             }
         }
 
@@ -32,34 +32,34 @@
             """{"version":$version,"routes":[]}""".toByteArray(),
         )
 
-        fun run() = followers.forEach { scope.backgroundScope.launch { it.run() } }
+        fun run() = watchers.forEach { scope.backgroundScope.launch { it.run() } }
 
-        val versions get() = followers.map { it.current?.version }
+        val versions get() = watchers.map { it.current?.version }
     }
 
-    /** Guards against a process that keeps an old configuration while its feed call waits for its time-out (CONFIG). */
+    /** Guards against a process that keeps an old configuration until its pending feed call times out. */
     @Test
-    fun `a process whose feed has fallen silent learns of a new version from its peers`() = runTest {
+    fun `a process whose change feed does not respond gets a new version from its peers`() = runTest {
         val setup = Setup(this)
         setup.write(1)
         setup.run()
-        setup.awaitVersion(1, withinMs = AWAIT_MS)
+        setup.awaitVersion(1, withinMs = DEFAULT_AWAIT_MS)
         setup.store.faults.silentFeeds += "n0"
         awaitUntil { "silent feed" in setup.store.calls }
         setup.write(2)
-        setup.awaitVersion(2, withinMs = APPLY_MS)
+        setup.awaitVersion(2, withinMs = APPLY_LIMIT_MS)
     }
 
-    /** Guards against a process without a configuration that never asks others while the store refuses it. */
+    /** Guards against a process without a configuration that does not ask its peers while the store refuses it. */
     @Test
-    fun `a process that the store refuses starts with a peer's configuration`() = runTest {
+    fun `a process whose store calls are refused starts with a peer's configuration`() = runTest {
         val setup = Setup(this)
         setup.write(1)
         setup.store.faults.refusedCallers += "n0"
         setup.run()
-        setup.awaitVersion(1, withinMs = APPLY_MS)
+        setup.awaitVersion(1, withinMs = APPLY_LIMIT_MS)
     }
 
     private suspend fun Setup.awaitVersion(version: Long, withinMs: Long) =
-        awaitUntil(withinMs) { versions == List(followers.size) { version } }
+        awaitUntil(withinMs) { versions == List(watchers.size) { version } }
 }
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/LeaderClientTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/LeaderClientTest.kt
@@ -1,4 +1,4 @@
-/** What a process concludes about the leader from its calls; over loopback connections. */
+/** Detection of a dead leader from its connection, over loopback. */
 package dev.bronzeshore.server.cluster
 
 import arrow.core.right
@@ -28,10 +28,10 @@
 import kotlin.random.Random
 
 private const val HOST = "127.0.0.1"
-private const val LOOKS = 20
-private const val LOOK_EVERY_MS = 30L
+private const val ANNOUNCEMENTS = 20
+private const val ANNOUNCE_PERIOD_MS = 30L
 
-/** A busy leader's answer comes this late. */
+/** Response delay of an overloaded leader. */
 private const val LATE_ANSWER_MS = 250L
 
 class LeaderClientTest {
@@ -48,7 +48,7 @@
             LeaderEvents(gained = {}, lost = {}, storeLost = {}),
         )
 
-        /** A leader that answers watches late and announcements far too late. */
+        /** Starts a leader that answers watches late and announcements only after their timeout. */
         suspend fun startLeader(): Pair<LeaderElection, Job> {
             val handlers = listOf(
                 handlerOf(WATCH_CALL) { request ->
@@ -56,7 +56,7 @@
                     WatchReply(true).right()
                 },
                 handlerOf(ANNOUNCE_CALL) {
-                    delay(AWAIT_MS)
+                    delay(DEFAULT_AWAIT_MS)
                     AnnounceReply(true).right()
                 },
             )
@@ -66,10 +66,11 @@
             return election(leaderRow.copy(peerAddress = "$HOST:$port")) to serverJob
         }
 
-        fun newClient() = TimedPeerClient(PeerClient(selector, System::currentTimeMillis, scope), System::currentTimeMillis)
+        fun newClient() =
+            TimedPeerClient(PeerClient(selector, System::currentTimeMillis, scope), System::currentTimeMillis)
     }
 
-    /** Guards against a busy leader that is taken for dead because calls that it answers late end their connection. */
+    /** Guards against an overloaded leader that counts as dead because calls that time out close their connection. */
     @Test
     @Timeout(60)
     fun `a leader that answers late keeps its term, one whose port is closed loses it`() = runBlocking {
@@ -83,11 +84,11 @@
         awaitUntil { follower.knownLeader != null }
         val terms = QueueTerms("queue", "service", 0, 1, 1.0, 0)
         val job = AcceptedJob("0000000000000001", JobDescription("payload", emptyList()), terms, 0)
-        val link = LeaderClient(own, follower, { emptyList() }, setup.newClient(), setup.newClient())
-        launch { link.watch() }
-        repeat(LOOKS) {
-            launch { link.announce(job) }
-            delay(LOOK_EVERY_MS)
+        val leaderClient = LeaderClient(own, follower, { emptyList() }, setup.newClient(), setup.newClient())
+        launch { leaderClient.watch() }
+        repeat(ANNOUNCEMENTS) {
+            launch { leaderClient.announce(job) }
+            delay(ANNOUNCE_PERIOD_MS)
         }
         delay(LATE_ANSWER_MS)
         assertEquals(1, follower.knownLeader?.term)
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/LeaderElectionTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/LeaderElectionTest.kt
@@ -22,14 +22,14 @@
 import org.junit.jupiter.params.provider.ValueSource
 import kotlin.random.Random
 
-/** Longest wait for the failed renewals, two of which come in a second. */
+/** Timeout for the failed renewals of an outage; there are two per second. */
 private const val OUTAGE_MS = 30_000L
 
-/** An outage with this many failed renewals lasts some times as long as a silent leader is borne. */
+/** An outage with this many failed renewals lasts several times the leader timeout. */
 private const val FAILED_RENEWALS = 20
 
-/** Longer than the time after which a silent leader counts as lost. */
-private const val LEADER_LOST_MS = 3_000L
+/** Longer than the time after which a leader without heartbeats is replaced. */
+private const val LEADER_TIMEOUT_MS = 3_000L
 
 class LeaderElectionTest {
     private class Candidate(val name: String, val election: LeaderElection, val job: Job)
@@ -50,13 +50,13 @@
     private fun List<Candidate>.leader(): Candidate? =
         filter { it.job.isActive && it.election.currentTerm != null }.maxByOrNull { it.election.currentTerm?.term ?: 0 }
 
-    /** The leader of [term] or a later one; fails if there is none after [withinMs] of virtual time. */
-    private suspend fun List<Candidate>.awaitLeader(term: Long = 1, withinMs: Long = AWAIT_MS): Candidate {
+    /** Waits for a leader of [term] or a later term; fails after [withinMs] of virtual time. */
+    private suspend fun List<Candidate>.awaitLeader(term: Long = 1, withinMs: Long = DEFAULT_AWAIT_MS): Candidate {
         awaitUntil(withinMs) { (leader()?.election?.currentTerm?.term ?: 0) >= term }
         return checkNotNull(leader())
     }
 
-    /** Guards against two processes that hold the same term. */
+    /** Guards against two leaders in the same term. */
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6, 7, 8])
     fun `each term has one leader under faults`(seed: Long) = runTest {
@@ -78,24 +78,24 @@
         assertEquals(cluster.gained.distinct(), cluster.gained)
     }
 
-    /** Guards against an outage of the store after which another process leads although the leader lives. */
+    /** Guards against a change of leader after a store outage although the leader is alive. */
     @Test
-    fun `a leader keeps its term through an outage`() = runTest {
+    fun `a leader keeps its term through a store outage`() = runTest {
         val cluster = Cluster(this, 1)
         val candidates = List(3) { cluster.boot("n$it") }
         val leader = candidates.awaitLeader()
         cluster.store.faults.isDown = true
         awaitUntil(OUTAGE_MS) { cluster.storeLost >= FAILED_RENEWALS }
         cluster.store.faults.isDown = false
-        val backAtMs = currentTime
-        awaitUntil { leader.election.renewedAtMs > backAtMs + LEADER_LOST_MS }
+        val restoredAtMs = currentTime
+        awaitUntil { leader.election.renewedAtMs > restoredAtMs + LEADER_TIMEOUT_MS }
         assertEquals(leader.name, candidates.leader()?.name)
         assertEquals(listOf(1L), cluster.gained)
     }
 
-    /** Guards against a lost leader that is missed for long, and against a waiting time after a handover. */
+    /** Guards against a slow replacement of a dead leader, and against a delay after a released term. */
     @Test
-    fun `a dead leader is replaced in two seconds, a released term at once`() = runTest {
+    fun `a dead leader is replaced within two seconds, a released term at once`() = runTest {
         val cluster = Cluster(this, 2)
         val candidates = List(3) { cluster.boot("n$it") }
         candidates.awaitLeader().job.cancel()
@@ -107,9 +107,9 @@
         assertNull(second.election.currentTerm)
     }
 
-    /** Guards against a takeover whose answer is lost and that nobody then leads. */
+    /** Guards against a term without a leader because the response to the takeover was lost. */
     @Test
-    fun `a takeover without an answer is led once the row shows it`() = runTest {
+    fun `a process whose takeover got no response leads once it reads its own row`() = runTest {
         val cluster = Cluster(this, 3)
         cluster.store.faults.lostAnswers = 1.0
         cluster.store.faults.lateByMs = 900
@@ -119,9 +119,9 @@
         assertEquals(candidate, listOf(candidate).awaitLeader(withinMs = 1_500))
     }
 
-    /** Guards against a slow process that is asked to lead although the term has passed on meanwhile. */
+    /** Guards against a late handover request that is accepted after the term has changed. */
     @Test
-    fun `a handover of a former term is refused`() = runTest {
+    fun `a handover of another than the current term is refused`() = runTest {
         val cluster = Cluster(this, 4)
         val candidates = List(2) { cluster.boot("n$it") }
         candidates.awaitLeader()
@@ -130,9 +130,9 @@
         assertEquals(true, follower.election.takeOverFrom(1, "test", isOnlyCandidate = true))
     }
 
-    /** Guards against a handover to a process that was cut off and still holds a term before the one handed over. */
+    /** Guards against a handover to a process that was partitioned from the store and still holds an earlier term. */
     @Test
-    fun `a process that holds a former term does not take a handover`() = runTest {
+    fun `a process that holds an earlier term refuses a handover`() = runTest {
         val cluster = Cluster(this, 5)
         val candidates = List(2) { cluster.boot("n$it") }
         val former = candidates.awaitLeader()
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/ReloadSignalTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/ReloadSignalTest.kt
@@ -1,4 +1,4 @@
-/** The reload signal. */
+/** Handling of the reload signal. */
 package dev.bronzeshore.server.cluster
 
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -10,9 +10,9 @@
 private const val WAIT_SECONDS = 10L
 
 class ReloadSignalTest {
-    /** Guards against a process that ends on a reload signal, as on the day of incident inc-3f82. */
+    /** Guards against a process that shuts down on a reload signal, as in incident inc-3f82. */
     @Test
-    fun `a reload signal does not end the process`() {
+    fun `a reload signal does not shut down the process`() {
         val reloaded = CountDownLatch(1)
         onReloadSignal { reloaded.countDown() }
         Signal.raise(Signal("HUP"))
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/SchedulerSimulation.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/SchedulerSimulation.kt
@@ -1,7 +1,7 @@
 /**
- * Runs real leaders against in-memory stand-ins on virtual time, with faults drawn from a seed.
+ * Runs production leaders against in-memory stand-ins on virtual time, with seeded random faults.
  *
- * The workers' own record judges whether a task ran twice at a time or a worker held more than fits.
+ * The workers' records show whether a task ran twice at the same time or a worker exceeded its capacity.
  */
 @file:OptIn(ExperimentalCoroutinesApi::class)
 
@@ -47,7 +47,7 @@
 internal val WORKER_CAPACITY = Resources(16_000, 32_000)
 private const val WORKER_TABLE = "workers"
 private const val ADVICE_CALLERS = 20
-private const val GOOD_WORKER_EVERY = 3
+private const val ELIGIBLE_WORKER_EVERY = 3
 
 internal fun boundsForTests() = ClusterBounds(
     maxLeaseMs = MAX_LEASE_MS,
@@ -70,7 +70,7 @@
     }
     private val entries = HashMap<String, WorkerEntry>()
 
-    /** Terms of the queues of jobs that are submitted from now on. */
+    /** Advice terms of the queues of subsequently submitted jobs. */
     var adviceTerms: AdviceTerms? = null
 
     private val adviceCallers = List(ADVICE_CALLERS) { AdviceCaller("n$it", ::advise) }
@@ -88,11 +88,11 @@
 
     fun nowMs(): Long = scope.currentTime
 
-    /** Takes the time that the queue's terms say; one worker in three may run a step, which does not change. */
+    /** Takes as long as the queue's terms specify; a fixed third of the workers may run a step. */
     private suspend fun advise(step: StepName, workerIds: List<String>): List<AdviceTicket> {
         val terms = accepted.getValue(step.jobId).terms.advice ?: return emptyList()
         delay((terms.decisionMs + terms.perWorkerMs * workerIds.size).toLong())
-        return workerIds.filter { Math.floorMod("$step/$it".hashCode(), GOOD_WORKER_EVERY) == 0 }
+        return workerIds.filter { Math.floorMod("$step/$it".hashCode(), ELIGIBLE_WORKER_EVERY) == 0 }
             .map { AdviceTicket(it, "ticket") }
     }
 
@@ -107,14 +107,14 @@
 
     private fun decode(row: StoredRow) = WorkerChange(row.id.key, row.value?.let { entries[it.decodeToString()] })
 
-    /** Starts the leader of the next term; a former one goes on if it is not stopped. */
-    fun lead(lookDelayMs: (workerId: String) -> Long = { 0 }): Job {
+    /** Starts the leader of the next term; the previous one keeps running unless it is stopped. */
+    fun lead(pollDelayMs: (workerId: String) -> Long = { 0 }): Job {
         term++
         store.put(Tables.TERM_ROW, term.toString().toByteArray())
         val version = termVersion()
         val dependencies = LeaderDependencies(
             store = store.asSeenBy("leader-$term"),
-            calls = workers.calls(lookDelayMs),
+            calls = workers.calls(pollDelayMs),
             bounds = boundsForTests(),
             clock = ::nowMs,
             timeOfDay = ::nowMs,
@@ -155,16 +155,16 @@
     val jobIds: Set<String> get() = accepted.keys
 
     suspend fun awaitPhase(id: String, phase: JobPhase, withinMs: Long): Boolean =
-        isReached(withinMs) { phaseOf(id) == phase }
+        holdsWithin(withinMs) { phaseOf(id) == phase }
 
-    /** Waits until the roster in the store names all workers, which is when tasks may start on them. */
+    /** Waits until the roster in the store lists all workers; tasks start on a worker only then. */
     suspend fun awaitRoster() = awaitUntil {
         val roster = store.valueOf(Tables.ROSTER_ROW)?.let { decodeRow(WorkerRosterRow.serializer(), it).workers }
         roster.orEmpty().map { it.workerId }.containsAll(workers.ids)
     }
 }
 
-/** A step of [replicas] tasks of [cores] for [durationMs]. */
+/** A step of [replicas] tasks with [cores] each that run for [durationMs]. */
 internal fun step(
     replicas: Int,
     cores: Int,
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/SchedulerSimulationTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/SchedulerSimulationTest.kt
@@ -1,4 +1,4 @@
-/** Seeded runs of leaders with faults: no task runs twice, no worker is overfilled, and all work gets done. */
+/** Seeded simulations with faults: no task runs twice, no worker exceeds its capacity, and all jobs end. */
 package dev.bronzeshore.server.cluster
 
 import dev.bronzeshore.core.cluster.JobPhase
@@ -10,76 +10,76 @@
 import org.junit.jupiter.params.provider.MethodSource
 import kotlin.time.Duration.Companion.minutes
 
-private const val TROUBLE_MS = 25_000L
+private const val FAULT_PERIOD_MS = 25_000L
 private const val RECOVERY_MS = 60_000L
 private const val SEEDS = 6L
 
-/** Guards against tasks that run twice, overfilled workers, and work that is lost or trackInFlight as done without an end. */
+/** Guards against tasks that run twice, overcommitted workers, and jobs that are lost or complete too early. */
 class SchedulerSimulationTest {
-    /** A kind of trouble, done at a random moment. */
-    internal data class Trouble(val name: String, val act: suspend SchedulerSimulation.() -> Unit) {
+    /** A kind of fault, injected at random times. */
+    internal data class FaultScenario(val name: String, val inject: suspend SchedulerSimulation.() -> Unit) {
         override fun toString() = name
     }
 
     @ParameterizedTest
     @MethodSource("cases")
-    internal fun `keeps its promises under`(trouble: Trouble, seed: Long) = runTest(timeout = 2.minutes) {
-        val trial = SchedulerSimulation(this, seed)
-        trial.lead()
-        playDay(trial, trouble)
-        trial.workers.faults.appliedLate = 0.0
-        trial.workers.faults.cutOff.clear()
-        trial.workers.faults.stalled.clear()
-        trial.store.faults.isDown = false
-        trial.store.faults.lostAnswers = 0.0
+    internal fun `all jobs end without violations`(scenario: FaultScenario, seed: Long) = runTest(timeout = 2.minutes) {
+        val simulation = SchedulerSimulation(this, seed)
+        simulation.lead()
+        submitUnderFaults(simulation, scenario)
+        simulation.workers.faults.appliedLate = 0.0
+        simulation.workers.faults.cutOff.clear()
+        simulation.workers.faults.stalled.clear()
+        simulation.store.faults.isDown = false
+        simulation.store.faults.lostAnswers = 0.0
         delay(RECOVERY_MS)
-        assertEquals(emptyList<String>(), trial.workers.judge.violations)
-        val unfinished = trial.jobIds.associateWith { trial.phaseOf(it) }
+        assertEquals(emptyList<String>(), simulation.workers.judge.violations)
+        val unfinished = simulation.jobIds.associateWith { simulation.phaseOf(it) }
             .filterValues { it != JobPhase.COMPLETED && it != JobPhase.CANCELLED }
         assertEquals(emptyMap<String, JobPhase?>(), unfinished)
     }
 
-    private suspend fun TestScope.playDay(trial: SchedulerSimulation, trouble: Trouble) {
+    private suspend fun TestScope.submitUnderFaults(simulation: SchedulerSimulation, scenario: FaultScenario) {
         var number = 0
-        while (trial.nowMs() < TROUBLE_MS) {
-            delay(trial.random.nextLong(50, 400))
-            submitRandom(trial, number++)
-            if (trial.random.nextInt(8) == 0) trouble.act(trial)
+        while (simulation.nowMs() < FAULT_PERIOD_MS) {
+            delay(simulation.random.nextLong(50, 400))
+            submitRandom(simulation, number++)
+            if (simulation.random.nextInt(8) == 0) scenario.inject(simulation)
         }
     }
 
-    private fun submitRandom(trial: SchedulerSimulation, number: Int) {
-        val random = trial.random
+    private fun submitRandom(simulation: SchedulerSimulation, number: Int) {
+        val random = simulation.random
         val id = number.toString(16).padStart(16, '0')
         val first =
             step(random.nextInt(1, 6), random.nextInt(1, 6), random.nextLong(100, 2_000), random.nextInt(3) == 0)
         val second = step(random.nextInt(1, 4), random.nextInt(1, 4), random.nextLong(100, 1_000), after = listOf(0))
-        if (random.nextBoolean()) trial.submit(id, first) else trial.submit(id, first, second)
-        if (random.nextInt(20) == 0) trial.cancel(id)
+        if (random.nextBoolean()) simulation.submit(id, first) else simulation.submit(id, first, second)
+        if (random.nextInt(20) == 0) simulation.cancel(id)
     }
 
     companion object {
-        private val TROUBLES = listOf(
-            Trouble("no trouble") {},
-            Trouble("leaders that die") {
+        private val SCENARIOS = listOf(
+            FaultScenario("no faults") {},
+            FaultScenario("leaders that crash") {
                 stopLeader()
                 delay(random.nextLong(100, 3_000))
                 lead()
             },
-            Trouble("two leaders at a time") { lead() },
-            Trouble("workers that crash and start again") {
+            FaultScenario("two leaders at the same time") { lead() },
+            FaultScenario("workers that crash and restart") {
                 val id = workers.ids.random(random)
                 workers.crash(id)
                 delay(random.nextLong(200, 3_000))
                 workers.boot(id)
             },
-            Trouble("workers that are cut off and run on") {
+            FaultScenario("workers that are partitioned and keep running") {
                 workers.faults.cutOff += workers.ids.random(random)
                 delay(random.nextLong(500, 9_000))
                 workers.faults.cutOff.clear()
             },
-            Trouble("orders that are carried out late") { workers.faults.appliedLate = 0.1 },
-            Trouble("a leader that dies while a worker is cut off") {
+            FaultScenario("requests that workers apply late") { workers.faults.appliedLate = 0.1 },
+            FaultScenario("a leader that crashes while a worker is partitioned") {
                 workers.faults.cutOff += workers.ids.random(random)
                 delay(random.nextLong(0, 2_000))
                 stopLeader()
@@ -87,19 +87,19 @@
                 delay(random.nextLong(500, 9_000))
                 workers.faults.cutOff.clear()
             },
-            Trouble("a store that is down") {
+            FaultScenario("store outages") {
                 store.faults.isDown = true
                 delay(random.nextLong(500, 6_000))
                 store.faults.isDown = false
             },
-            Trouble("a store that forgets its history after a takeover") {
+            FaultScenario("a change feed without history after a takeover") {
                 stopLeader()
                 lead()
                 delay(random.nextLong(100, 1_000))
                 store.faults.historyFrom = store.newestVersion
             },
-            Trouble("answers of the store that are lost") { store.faults.lostAnswers = 0.3 },
-            Trouble("workers that stand still") {
+            FaultScenario("lost store responses") { store.faults.lostAnswers = 0.3 },
+            FaultScenario("workers that stall") {
                 workers.faults.stalled += workers.ids.random(random)
                 delay(random.nextLong(500, 6_000))
                 workers.faults.stalled.clear()
@@ -107,6 +107,6 @@
         )
 
         @JvmStatic
-        fun cases(): List<Array<Any>> = TROUBLES.flatMap { trouble -> (1..SEEDS).map { arrayOf(trouble, it) } }
+        fun cases(): List<Array<Any>> = SCENARIOS.flatMap { scenario -> (1..SEEDS).map { arrayOf(scenario, it) } }
     }
 }
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/StoreDeskTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/StoreDeskTest.kt
@@ -1,4 +1,4 @@
-/** Submissions, states and cancellations over a store with faults. */
+/** Submission, state queries and cancellation of jobs with a faulty store. */
 @file:OptIn(ExperimentalCoroutinesApi::class)
 
 package dev.bronzeshore.server.cluster
@@ -33,7 +33,7 @@
 class StoreDeskTest {
     private class Setup(scope: TestScope, isServed: Boolean = true) {
         val store = StoreStandIn(Random(1), scope.backgroundScope)
-        val desk: JobDesk =
+        val jobs: JobDesk =
             createStoreDesk(store.asSeenBy("node"), { scope.currentTime }, { isServed }, scope.backgroundScope)
     }
 
@@ -43,78 +43,78 @@
         return AcceptedJob(number.toString(16).padStart(16, '0'), JobDescription("p", listOf(step)), terms, 0)
     }
 
-    /** Guards against a repeated submission that is refused or stored anew. */
+    /** Guards against a repeated submission that is rejected or stored a second time. */
     @Test
-    fun `a repeated submission is the same job`() = runTest {
+    fun `a repeated submission is accepted and stored once`() = runTest {
         val setup = Setup(this)
-        val answers = List(20) { async { setup.desk.submit(job(it % 5)) } }.awaitAll()
+        val answers = List(20) { async { setup.jobs.submit(job(it % 5)) } }.awaitAll()
         assertEquals(listOf(SubmitAnswer.Accepted), answers.distinct())
         assertEquals(5, setup.store.rowsOf(Tables.INTAKE).size)
     }
 
-    /** Guards against a refusal of a job that was stored or may still be (REFUSED). */
+    /** Guards against a rejection of a job that was stored or may still be stored. */
     @Test
-    fun `a submission without an answer is never refused`() = runTest {
+    fun `a submission whose store call got no response is never rejected`() = runTest {
         val setup = Setup(this)
         setup.store.faults.lostAnswers = 1.0
         setup.store.faults.lateByMs = 2_000
-        assertInstanceOf(SubmitAnswer.Unknown::class.java, setup.desk.submit(job(1)))
+        assertInstanceOf(SubmitAnswer.Unknown::class.java, setup.jobs.submit(job(1)))
     }
 
-    /** Guards against an answer "unknown" where a second look shows that the job is stored. */
+    /** Guards against an unknown outcome where a second attempt shows that the job is stored. */
     @Test
-    fun `a lost answer is settled by a second attempt`() = runTest {
+    fun `a second attempt resolves a lost response`() = runTest {
         val setup = Setup(this)
         setup.store.faults.lostAnswers = 1.0
-        val answer = async { setup.desk.submit(job(1)) }
+        val answer = async { setup.jobs.submit(job(1)) }
         delay(300)
         setup.store.faults.lostAnswers = 0.0
         assertEquals(SubmitAnswer.Accepted, answer.await())
     }
 
-    /** Guards against callers that are held up while the store serves nobody. */
+    /** Guards against callers that wait while the store is unavailable. */
     @Test
-    fun `submissions are refused at once while the store is down`() = runTest {
+    fun `submissions are rejected at once while the store is down`() = runTest {
         val setup = Setup(this, isServed = false)
         setup.store.faults.isDown = true
         val startedAtMs = currentTime
-        assertInstanceOf(SubmitAnswer.Rejected::class.java, setup.desk.submit(job(1)))
+        assertInstanceOf(SubmitAnswer.Rejected::class.java, setup.jobs.submit(job(1)))
         assertTrue(currentTime - startedAtMs < 50)
     }
 
-    /** Guards against burst traffic in a slow spell that needs one transaction after another for each job. */
+    /** Guards against bursts in a slow period that need a transaction per job, one after another. */
     @Test
-    fun `a burst in a slow spell is stored within two writes`() = runTest {
+    fun `a burst in a slow period is stored within two writes`() = runTest {
         val setup = Setup(this)
         setup.store.faults.latencyMs = 300
         val startedAtMs = currentTime
-        List(200) { async { setup.desk.submit(job(it)) } }.awaitAll()
+        List(200) { async { setup.jobs.submit(job(it)) } }.awaitAll()
         assertTrue(currentTime - startedAtMs <= 700)
     }
 
-    /** Guards against a state that is shown before it is stored, or a known job that is denied. */
+    /** Guards against a state that is reported before it is stored, or a stored job that is reported as unknown. */
     @Test
-    fun `answers for the state of a job from what is stored`() = runTest {
+    fun `the state of a job is the stored one`() = runTest {
         val setup = Setup(this)
-        assertEquals(StateAnswer.NoSuchJob, setup.desk.stateOf(job(1).jobId))
-        setup.desk.submit(job(1))
-        assertEquals(StateAnswer.Found(JobPhase.PENDING), setup.desk.stateOf(job(1).jobId))
-        assertTrue(setup.desk.cancel(job(1).jobId))
-        assertEquals(StateAnswer.Found(JobPhase.CANCELLED), setup.desk.stateOf(job(1).jobId))
+        assertEquals(StateAnswer.NoSuchJob, setup.jobs.stateOf(job(1).jobId))
+        setup.jobs.submit(job(1))
+        assertEquals(StateAnswer.Found(JobPhase.PENDING), setup.jobs.stateOf(job(1).jobId))
+        assertTrue(setup.jobs.cancel(job(1).jobId))
+        assertEquals(StateAnswer.Found(JobPhase.CANCELLED), setup.jobs.stateOf(job(1).jobId))
         val progress = JobProgress(JobPhase.COMPLETED)
         setup.store.put(Tables.progressRow(job(1).jobId), encodeRow(JobProgress.serializer(), progress))
-        assertEquals(StateAnswer.Found(JobPhase.COMPLETED), setup.desk.stateOf(job(1).jobId))
+        assertEquals(StateAnswer.Found(JobPhase.COMPLETED), setup.jobs.stateOf(job(1).jobId))
         setup.store.faults.isDown = true
-        assertEquals(StateAnswer.Unavailable, setup.desk.stateOf(job(1).jobId))
+        assertEquals(StateAnswer.Unavailable, setup.jobs.stateOf(job(1).jobId))
     }
 
-    /** Guards against an accepted job that is denied because it ends while its state is read (LOST). */
+    /** Guards against an accepted job that is reported as unknown because it ends while its state is read. */
     @Test
-    fun `a job that ends between two looks at the store is found`() = runTest {
+    fun `a job that ends between two reads of the store is found`() = runTest {
         val setup = Setup(this)
-        setup.desk.submit(job(1))
+        setup.jobs.submit(job(1))
         setup.store.faults.latencyMs = 300
-        val state = async { setup.desk.stateOf(job(1).jobId) }
+        val state = async { setup.jobs.stateOf(job(1).jobId) }
         delay(400)
         val progress = JobProgress(JobPhase.COMPLETED)
         setup.store.put(Tables.progressRow(job(1).jobId), encodeRow(JobProgress.serializer(), progress))
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/StoreHealthTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/StoreHealthTest.kt
@@ -1,4 +1,4 @@
-/** When a process counts as not served by the store. */
+/** Detection of an unavailable store. */
 @file:OptIn(ExperimentalCoroutinesApi::class)
 
 package dev.bronzeshore.server.cluster
@@ -17,35 +17,35 @@
 class StoreHealthTest {
     private val query = RowRangeQuery("t", "")
 
-    /** Guards against a process that passes requests on because of one refused call, or never does. */
+    /** Guards against a process that forwards requests because of a single refused call, or that never forwards. */
     @Test
-    fun `refusals count once no call has succeeded for a while`() = runTest {
+    fun `the store is unavailable after repeated refusals without a recent success`() = runTest {
         val store = StoreStandIn(Random(1), backgroundScope)
         val health = StoreHealth { currentTime }
-        val watched = health.monitor(store.asSeenBy("node"))
-        watched.readPage(query)
+        val monitored = health.monitor(store.asSeenBy("node"))
+        monitored.readPage(query)
         store.faults.refusedCallers += "node"
-        watched.readPage(query)
-        watched.readPage(query)
+        monitored.readPage(query)
+        monitored.readPage(query)
         assertEquals(true, health.isAvailable)
         delay(400)
-        watched.readPage(query)
+        monitored.readPage(query)
         assertEquals(false, health.isAvailable)
         store.faults.refusedCallers.clear()
-        watched.readPage(query)
+        monitored.readPage(query)
         assertEquals(true, health.isAvailable)
     }
 
-    /** Guards against a slow spell that is taken for an outage. */
+    /** Guards against a slow period that is treated as an outage. */
     @Test
-    fun `a slow store still serves`() = runTest {
+    fun `a slow store is available`() = runTest {
         val store = StoreStandIn(Random(1), backgroundScope)
         val health = StoreHealth { currentTime }
-        val watched = health.monitor(store.asSeenBy("node"))
+        val monitored = health.monitor(store.asSeenBy("node"))
         store.faults.latencyMs = 400
-        repeat(6) { watched.transact(StoreTransaction()) }
+        repeat(6) { monitored.transact(StoreTransaction()) }
         store.faults.lostAnswers = 1.0
-        repeat(1) { watched.transact(StoreTransaction()) }
+        repeat(1) { monitored.transact(StoreTransaction()) }
         assertEquals(true, health.isAvailable)
     }
 }
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/TakeoverTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/TakeoverTest.kt
@@ -1,4 +1,4 @@
-/** Patterns of takeovers: what a new leader finds at the workers, in the store, and of a leader that goes on. */
+/** Takeovers: state that a new leader reads from workers and store, and a former leader that keeps running. */
 package dev.bronzeshore.server.cluster
 
 import dev.bronzeshore.core.cluster.JobPhase
@@ -14,167 +14,168 @@
 
 private const val JOB = "00000000000000aa"
 
-/** Virtual time in which a wrong start would come: the check is that nothing happens, so no condition ends it. */
-private const val NOTHING_HAPPENS_MS = 3_000L
+/** Virtual time in which a wrong start would occur; the test checks that none does, so no condition ends the wait. */
+private const val OBSERVATION_MS = 3_000L
 
 class TakeoverTest {
-    /** Guards against failed runs that are trackInFlight short when their ends reach a new leader in any order (BUDGET). */
+    /** Guards against failed runs that are not all counted when a new leader learns of them in any order. */
     @Test
-    fun `failed runs count across a takeover`() = runTest {
-        val trial = SchedulerSimulation(this, seed = 4, workerCount = 3)
-        trial.lead()
-        trial.workers.faults.failing += trial.workers.ids
-        trial.submit(JOB, step(replicas = 1, cores = 1, durationMs = 1_000), attempts = 3)
-        awaitUntil { trial.workers.judge.starts == 1 }
-        // No end can be acknowledged while the store is down, so the next leader hears of all failures at once.
-        trial.store.faults.isDown = true
-        awaitUntil { trial.workers.judge.starts == 3 && trial.workers.judge.runningCount == 0 }
-        trial.stopLeader()
-        trial.store.faults.isDown = false
-        // The workers were tried from w0 on, so the newest failure reaches the next leader first.
-        trial.lead(lookDelayMs = { id -> if (id == "w2") 0 else 300 - 100L * id.drop(1).toLong() })
-        assertTrue(trial.awaitPhase(JOB, JobPhase.FAILED, withinMs = 10_000))
-        assertEquals(3, trial.workers.judge.starts)
+    fun `failed runs are counted across a takeover`() = runTest {
+        val simulation = SchedulerSimulation(this, seed = 4, workerCount = 3)
+        simulation.lead()
+        simulation.workers.faults.failing += simulation.workers.ids
+        simulation.submit(JOB, step(replicas = 1, cores = 1, durationMs = 1_000), attempts = 3)
+        awaitUntil { simulation.workers.judge.starts == 1 }
+        // No end can be acknowledged while the store is down, so the next leader learns of all failures at once.
+        simulation.store.faults.isDown = true
+        awaitUntil { simulation.workers.judge.starts == 3 && simulation.workers.judge.runningCount == 0 }
+        simulation.stopLeader()
+        simulation.store.faults.isDown = false
+        // The attempts ran on w0, w1 and w2, so the next leader learns of the newest failure first.
+        simulation.lead(pollDelayMs = { id -> if (id == "w2") 0 else 300 - 100L * id.drop(1).toLong() })
+        assertTrue(simulation.awaitPhase(JOB, JobPhase.FAILED, withinMs = 10_000))
+        assertEquals(3, simulation.workers.judge.starts)
     }
 
-    /** Guards against older jobs that all wait for a dark worker after a takeover, though its tasks are known. */
+    /** Guards against a takeover after which all older jobs wait for an unreachable worker whose jobs are known. */
     @Test
-    fun `a takeover beside a dark worker holds up only the jobs that may run there`() = runTest {
-        val trial = SchedulerSimulation(this, seed = 6, workerCount = 3)
-        trial.lead()
-        trial.awaitRoster()
-        val rosterVersion = trial.rosterVersion()
-        trial.workers.faults.cutOff += "w0"
-        awaitUntil { trial.rosterVersion() != rosterVersion }
-        trial.submit(JOB, step(replicas = 1, cores = 1, durationMs = 300))
-        trial.stopLeader()
-        trial.lead()
-        assertTrue(trial.awaitPhase(JOB, JobPhase.COMPLETED, withinMs = 2_000))
+    fun `an unreachable worker delays only the jobs that may run there after a takeover`() = runTest {
+        val simulation = SchedulerSimulation(this, seed = 6, workerCount = 3)
+        simulation.lead()
+        simulation.awaitRoster()
+        val rosterVersion = simulation.rosterVersion()
+        simulation.workers.faults.cutOff += "w0"
+        awaitUntil { simulation.rosterVersion() != rosterVersion }
+        simulation.submit(JOB, step(replicas = 1, cores = 1, durationMs = 300))
+        simulation.stopLeader()
+        simulation.lead()
+        assertTrue(simulation.awaitPhase(JOB, JobPhase.COMPLETED, withinMs = 2_000))
     }
 
-    /** Guards against a new job that a former leader, which has not noticed the takeover, starts as well (TWICE). */
+    /** Guards against a new job that runs twice because a former leader, unaware of the takeover, starts it as well. */
     @Test
-    fun `a job that two leaders learn of runs once`() = runTest {
-        val trial = SchedulerSimulation(this, seed = 7, workerCount = 4)
-        trial.lead()
-        trial.awaitRoster()
-        trial.lead(lookDelayMs = { if (it == "w0") 800 else 0 })
-        trial.submit(JOB, step(replicas = 12, cores = 4, durationMs = 1_500))
-        assertTrue(trial.awaitPhase(JOB, JobPhase.COMPLETED, withinMs = 12_000))
-        assertEquals(emptyList<String>(), trial.workers.judge.violations)
+    fun `a job that two leaders read runs once`() = runTest {
+        val simulation = SchedulerSimulation(this, seed = 7, workerCount = 4)
+        simulation.lead()
+        simulation.awaitRoster()
+        simulation.lead(pollDelayMs = { if (it == "w0") 800 else 0 })
+        simulation.submit(JOB, step(replicas = 12, cores = 4, durationMs = 1_500))
+        assertTrue(simulation.awaitPhase(JOB, JobPhase.COMPLETED, withinMs = 12_000))
+        assertEquals(emptyList<String>(), simulation.workers.judge.violations)
     }
 
-    data class FormerStart(val name: String, val durationMs: Long, val lookDelayMs: Long) {
+    data class EarlyRun(val name: String, val durationMs: Long, val pollDelayMs: Long) {
         override fun toString() = name
     }
 
     /**
-     * Guards against a task that runs twice because a new leader hears of its run from a worker before it hears of
-     * the job: the run was stopped and started elsewhere at once, or its end was acknowledged without effect (TWICE).
+     * Guards against a task that runs twice because a new leader learns of its run from a worker before the change
+     * feed delivers the job: the run was stopped and started elsewhere at once, or its end was acknowledged without
+     * being recorded.
      */
     @ParameterizedTest
-    @MethodSource("formerStarts")
-    fun `a job that a worker names before the feed runs once`(case: FormerStart) = runTest {
-        val trial = SchedulerSimulation(this, seed = 8, workerCount = 4)
-        trial.lead()
-        trial.awaitRoster()
-        trial.store.faults.lateFeedsMs["leader-2"] = 900
-        var hasReadTables = false
-        trial.lead(
-            lookDelayMs = {
-                hasReadTables = true
-                case.lookDelayMs
+    @MethodSource("earlyRuns")
+    fun `a job that a worker reports before the change feed runs once`(case: EarlyRun) = runTest {
+        val simulation = SchedulerSimulation(this, seed = 8, workerCount = 4)
+        simulation.lead()
+        simulation.awaitRoster()
+        simulation.store.faults.lateFeedsMs["leader-2"] = 900
+        var hasPolledWorkers = false
+        simulation.lead(
+            pollDelayMs = {
+                hasPolledWorkers = true
+                case.pollDelayMs
             },
         )
-        awaitUntil { hasReadTables }
-        trial.submit(JOB, step(replicas = 6, cores = 4, durationMs = case.durationMs))
-        assertTrue(trial.awaitPhase(JOB, JobPhase.COMPLETED, withinMs = 12_000))
-        assertEquals(emptyList<String>(), trial.workers.judge.violations)
-        assertEquals(6, trial.workers.judge.starts)
+        awaitUntil { hasPolledWorkers }
+        simulation.submit(JOB, step(replicas = 6, cores = 4, durationMs = case.durationMs))
+        assertTrue(simulation.awaitPhase(JOB, JobPhase.COMPLETED, withinMs = 12_000))
+        assertEquals(emptyList<String>(), simulation.workers.judge.violations)
+        assertEquals(6, simulation.workers.judge.starts)
     }
 
     /**
-     * Guards against a roster that is taken for not stored because its write got no answer: it said that no job was
-     * on a dark worker, and a later leader started tasks of that worker elsewhere (TWICE).
+     * Guards against a roster that is treated as not stored because its write got no response: it said that an
+     * unreachable worker had no jobs, and a later leader started tasks of that worker elsewhere, so they ran twice.
      */
     @Test
-    fun `a roster write without an answer counts as stored`() = runTest {
-        val trial = SchedulerSimulation(this, seed = 9, workerCount = 2)
-        var looks = 0
-        trial.lead(
-            lookDelayMs = {
-                if (it == "w0") looks++
+    fun `a roster write without a response counts as stored`() = runTest {
+        val simulation = SchedulerSimulation(this, seed = 9, workerCount = 2)
+        var polls = 0
+        simulation.lead(
+            pollDelayMs = {
+                if (it == "w0") polls++
                 0
             },
         )
-        trial.awaitRoster()
-        trial.store.faults.lostAnswers = 1.0
-        val rosterVersion = trial.rosterVersion()
-        trial.workers.faults.cutOff += "w0"
-        awaitUntil { trial.rosterVersion() != rosterVersion }
-        trial.workers.faults.cutOff.clear()
-        // Answers are lost until the worker has answered a look, which is when the next but one begins.
-        val looksBefore = looks
-        awaitUntil { looks == looksBefore + 2 }
-        trial.store.faults.lostAnswers = 0.0
-        trial.submit(JOB, step(replicas = 4, cores = 8, durationMs = 6_000))
-        awaitUntil { trial.workers.judge.starts == 4 }
-        trial.workers.faults.cutOff += "w0"
-        trial.stopLeader()
-        trial.workers.boot("w2")
-        trial.lead()
-        delay(NOTHING_HAPPENS_MS)
-        trial.workers.faults.cutOff.clear()
-        assertTrue(trial.awaitPhase(JOB, JobPhase.COMPLETED, withinMs = 12_000))
-        assertEquals(emptyList<String>(), trial.workers.judge.violations)
+        simulation.awaitRoster()
+        simulation.store.faults.lostAnswers = 1.0
+        val rosterVersion = simulation.rosterVersion()
+        simulation.workers.faults.cutOff += "w0"
+        awaitUntil { simulation.rosterVersion() != rosterVersion }
+        simulation.workers.faults.cutOff.clear()
+        // Store responses are lost until the worker has answered a poll: only then does a second one from here begin.
+        val pollsBefore = polls
+        awaitUntil { polls == pollsBefore + 2 }
+        simulation.store.faults.lostAnswers = 0.0
+        simulation.submit(JOB, step(replicas = 4, cores = 8, durationMs = 6_000))
+        awaitUntil { simulation.workers.judge.starts == 4 }
+        simulation.workers.faults.cutOff += "w0"
+        simulation.stopLeader()
+        simulation.workers.boot("w2")
+        simulation.lead()
+        delay(OBSERVATION_MS)
+        simulation.workers.faults.cutOff.clear()
+        assertTrue(simulation.awaitPhase(JOB, JobPhase.COMPLETED, withinMs = 12_000))
+        assertEquals(emptyList<String>(), simulation.workers.judge.violations)
     }
 
-    /** Guards against progress that an older write without an answer replaces seconds later (TWICE). */
+    /** Guards against tasks that run twice because a late write without a response overwrites newer progress. */
     @Test
-    fun `a late write of the journal does not undo a newer one`() = runTest {
-        val trial = SchedulerSimulation(this, seed = 14, workerCount = 2)
-        trial.lead()
-        trial.submit(JOB, step(replicas = 2, cores = 4, durationMs = 300), step(1, 4, 500, after = listOf(0)))
-        awaitUntil { trial.workers.judge.starts == 2 }
-        trial.store.faults.lateByMs = 3_000
-        trial.store.faults.lostAnswers = 1.0
-        awaitUntil { trial.workers.judge.starts == 3 && "lost" in trial.store.calls }
-        trial.store.faults.lostAnswers = 0.0
-        awaitUntil { trial.phaseOf(JOB) == JobPhase.COMPLETED }
-        delay(2 * trial.store.faults.lateByMs)
-        assertEquals(JobPhase.COMPLETED, trial.phaseOf(JOB))
-        trial.stopLeader()
-        trial.lead()
-        delay(NOTHING_HAPPENS_MS)
-        assertEquals(emptyList<String>(), trial.workers.judge.violations)
+    fun `a late journal write does not overwrite a newer one`() = runTest {
+        val simulation = SchedulerSimulation(this, seed = 14, workerCount = 2)
+        simulation.lead()
+        simulation.submit(JOB, step(replicas = 2, cores = 4, durationMs = 300), step(1, 4, 500, after = listOf(0)))
+        awaitUntil { simulation.workers.judge.starts == 2 }
+        simulation.store.faults.lateByMs = 3_000
+        simulation.store.faults.lostAnswers = 1.0
+        awaitUntil { simulation.workers.judge.starts == 3 && "lost" in simulation.store.calls }
+        simulation.store.faults.lostAnswers = 0.0
+        awaitUntil { simulation.phaseOf(JOB) == JobPhase.COMPLETED }
+        delay(2 * simulation.store.faults.lateByMs)
+        assertEquals(JobPhase.COMPLETED, simulation.phaseOf(JOB))
+        simulation.stopLeader()
+        simulation.lead()
+        delay(OBSERVATION_MS)
+        assertEquals(emptyList<String>(), simulation.workers.judge.violations)
     }
 
-    /** Guards against tasks that wait for ever for a worker that is lost for good, without a takeover (LOST). */
+    /** Guards against tasks that wait forever for a permanently lost worker, without a takeover. */
     @Test
-    fun `tasks of a worker that is lost start elsewhere when its leases are over`() = runTest {
-        val trial = SchedulerSimulation(this, seed = 13, workerCount = 2)
-        trial.lead()
-        trial.submit(JOB, step(replicas = 4, cores = 8, durationMs = 2_000))
-        awaitUntil { trial.workers.judge.starts == 4 }
-        trial.workers.crash("w0")
-        assertTrue(trial.awaitPhase(JOB, JobPhase.COMPLETED, withinMs = 2 * MAX_LEASE_MS))
-        assertEquals(emptyList<String>(), trial.workers.judge.violations)
+    fun `tasks of a lost worker start elsewhere once its leases have expired`() = runTest {
+        val simulation = SchedulerSimulation(this, seed = 13, workerCount = 2)
+        simulation.lead()
+        simulation.submit(JOB, step(replicas = 4, cores = 8, durationMs = 2_000))
+        awaitUntil { simulation.workers.judge.starts == 4 }
+        simulation.workers.crash("w0")
+        assertTrue(simulation.awaitPhase(JOB, JobPhase.COMPLETED, withinMs = 2 * MAX_LEASE_MS))
+        assertEquals(emptyList<String>(), simulation.workers.judge.violations)
     }
 
-    /** Guards against takeovers that read every job of the day, and against an ended job that starts again. */
+    /** Guards against takeovers that read all jobs including ended ones, and against an ended job that starts again. */
     @Test
-    fun `a takeover reads open jobs only, and a repeated submission of an ended one starts nothing`() = runTest {
-        val trial = SchedulerSimulation(this, seed = 10, workerCount = 2)
-        trial.lead()
-        trial.submit(JOB, step(replicas = 2, cores = 4, durationMs = 300))
-        awaitUntil { trial.phaseOf(JOB) == JobPhase.COMPLETED }
-        awaitUntil { trial.store.rowsOf(Tables.INTAKE).isEmpty() }
-        trial.stopLeader()
-        trial.lead()
-        trial.submit(JOB, step(replicas = 2, cores = 4, durationMs = 300))
-        delay(NOTHING_HAPPENS_MS)
-        assertEquals(JobPhase.COMPLETED, trial.phaseOf(JOB))
-        assertEquals(2, trial.workers.judge.starts)
+    fun `a takeover reads open jobs only, and a resubmitted ended job does not start`() = runTest {
+        val simulation = SchedulerSimulation(this, seed = 10, workerCount = 2)
+        simulation.lead()
+        simulation.submit(JOB, step(replicas = 2, cores = 4, durationMs = 300))
+        awaitUntil { simulation.phaseOf(JOB) == JobPhase.COMPLETED }
+        awaitUntil { simulation.store.rowsOf(Tables.INTAKE).isEmpty() }
+        simulation.stopLeader()
+        simulation.lead()
+        simulation.submit(JOB, step(replicas = 2, cores = 4, durationMs = 300))
+        delay(OBSERVATION_MS)
+        assertEquals(JobPhase.COMPLETED, simulation.phaseOf(JOB))
+        assertEquals(2, simulation.workers.judge.starts)
     }
 
     private fun SchedulerSimulation.rosterVersion() = store.rowsOf(Tables.LEADER_NOTES).first {
@@ -183,9 +184,9 @@
 
     companion object {
         @JvmStatic
-        fun formerStarts(): List<FormerStart> = listOf(
-            FormerStart("a run that is found at work", durationMs = 1_500, lookDelayMs = 200),
-            FormerStart("a run that is found done", durationMs = 100, lookDelayMs = 400),
+        fun earlyRuns(): List<EarlyRun> = listOf(
+            EarlyRun("the run is still active at the poll", durationMs = 1_500, pollDelayMs = 200),
+            EarlyRun("the run has ended by the poll", durationMs = 100, pollDelayMs = 400),
         )
     }
 }
