--- a/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterMetrics.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterMetrics.kt
@@ -17,7 +17,7 @@
     private val answers = counter("bronzeshore_caller_answers_total", "Answers to callers.", "method", "status")
     private val starts = counter("bronzeshore_starts_total", "Start orders by result.", "result")
     private val ends = counter("bronzeshore_run_ends_total", "Ends of runs by kind.", "kind")
-    private val statusPolls = counter("bronzeshore_worker_looks_total", "Reports asked of workers.")
+    private val workerPolls = counter("bronzeshore_worker_looks_total", "Reports asked of workers.")
     private val advice = counter("bronzeshore_advice_calls_total", "Calls for advice by outcome.", "outcome")
     private val invariantViolations = counter("bronzeshore_invariants_broken_total", "Invariants found broken.")
     private val journal = histogram("bronzeshore_journal_seconds", "Time of a journal write by outcome.", "outcome")
@@ -34,7 +34,7 @@
     fun forScheduler() = SchedulerMetrics(
         start = { starts.labelValues(it).inc() },
         end = { ends.labelValues(it).inc() },
-        look = { statusPolls.inc() },
+        look = { workerPolls.inc() },
         journalWrite = { outcome, ms -> journal.labelValues(outcome).observe(ms / MS_PER_SECOND) },
         jobEnded = { queue, phase, ms -> jobs.labelValues(queue, phase).observe(ms / MS_PER_SECOND) },
         advice = { advice.labelValues(it).inc() },
--- a/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterProcess.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterProcess.kt
@@ -40,7 +40,7 @@
 import java.util.concurrent.atomic.AtomicInteger
 
 /** Time until the load balancer sees that a process is not ready: two probes, one per second, plus a margin. */
-private const val BALANCER_DETECTION_MS = 2_700L
+private const val LOAD_BALANCER_DETECTION_MS = 2_700L
 
 /** Part of the stop signal's grace period that is reserved for the exit of the process itself. */
 private const val EXIT_RESERVE_MS = 900L
@@ -64,14 +64,14 @@
 internal class ClusterProcess(
     private val settings: ClusterSettings,
     private val control: CoroutineDispatcher,
-    traffic: CoroutineDispatcher,
+    ioDispatcher: CoroutineDispatcher,
     private val scope: CoroutineScope,
 ) {
     private val log = EventLog("process")
     private val timeOfDay: ClockMs = System::currentTimeMillis
     private val bootId = UUID.randomUUID().toString()
-    private val selector = SelectorManager(traffic)
-    private val platform = PlatformLink(selector, traffic, settings.storeAddress, settings.adviceAddress)
+    private val selector = SelectorManager(ioDispatcher)
+    private val platform = PlatformLink(selector, ioDispatcher, settings.storeAddress, settings.adviceAddress)
     private val health = StoreHealth(SteadyClock)
     private val store = health.monitor(platform.store)
     private val peerClient = newPeerClient()
@@ -104,7 +104,7 @@
     }
     private var runner: LeaderTermRunner? = null
     private val inFlight = AtomicInteger()
-    private var term: Job? = null
+    private var termJob: Job? = null
 
     @Volatile
     private var isStopping = false
@@ -131,13 +131,17 @@
         scope.launch { leaderClient.watch() }
     }
 
-    /** Hands over leadership and waits until the balancer has noticed and no request is in flight, within the grace. */
+    /**
+     * Hands over leadership and waits until the load balancer has noticed and no request is in flight.
+     *
+     * The wait ends with the grace period of the stop signal, less a reserve for the exit.
+     */
     suspend fun stop() {
         val startedAtMs = SteadyClock()
         isStopping = true
         log.event("stop", "process" to settings.processName, "leads" to (election.currentTerm != null))
         scope.launch(control) { handOverLeadership() }
-        delay(BALANCER_DETECTION_MS)
+        delay(LOAD_BALANCER_DETECTION_MS)
         while (inFlight.get() > 0 &&
             SteadyClock() - startedAtMs < settings.bounds.stopSignalGraceMs - EXIT_RESERVE_MS
         ) {
@@ -171,13 +175,13 @@
         endTerm()
         val started = LeaderTermRunner(dependencies(won), won.term, won.termRowVersion)
         runner = started
-        term = scope.launch(control) { started.run() }
+        termJob = scope.launch(control) { started.run() }
     }
 
     private suspend fun endTerm() {
         runner = null
-        term?.cancelAndJoin()
-        term = null
+        termJob?.cancelAndJoin()
+        termJob = null
     }
 
     private fun dependencies(won: LeaderTerm) = LeaderDependencies(
--- a/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterSettingsFile.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterSettingsFile.kt
@@ -51,11 +51,11 @@
 internal fun readClusterSettings(text: String): Either<List<String>, ClusterSettings> {
     val file = Either.catch { SettingsJson.decodeFromString(ClusterSettingsFile.serializer(), text) }
         .fold({ return listOf(it.message ?: "malformed settings").left() }, { it })
-    val faults = faultsOf(file)
-    return if (faults.isEmpty()) file.toSettings().right() else faults.left()
+    val errors = findErrors(file)
+    return if (errors.isEmpty()) file.toSettings().right() else errors.left()
 }
 
-private fun faultsOf(file: ClusterSettingsFile): List<String> = buildList {
+private fun findErrors(file: ClusterSettingsFile): List<String> = buildList {
     val addresses = mapOf(
         "callersAddress" to file.callersAddress,
         "readinessAddress" to file.readinessAddress,
@@ -63,7 +63,7 @@
         "metricsAddress" to file.metricsAddress,
         "storeAddress" to file.storeAddress,
     )
-    for ((name, value) in addresses) if (addressOf(value) == null) add("$name: '$value' is not HOST:PORT")
+    for ((name, value) in addresses) if (parseAddress(value) == null) add("$name: '$value' is not HOST:PORT")
     if (file.processName.isBlank()) add("processName: must not be empty")
     if (file.bounds.maxLeaseMs <= 0) add("bounds.maxLeaseMs: must be greater than 0")
 }
@@ -71,10 +71,10 @@
 private fun ClusterSettingsFile.toSettings() = ClusterSettings(
     processName = processName,
     dataCentre = dataCentre,
-    callers = requireNotNull(addressOf(callersAddress)),
-    readiness = requireNotNull(addressOf(readinessAddress)),
-    peers = requireNotNull(addressOf(peersAddress)),
-    metrics = requireNotNull(addressOf(metricsAddress)),
+    callers = requireNotNull(parseAddress(callersAddress)),
+    readiness = requireNotNull(parseAddress(readinessAddress)),
+    peers = requireNotNull(parseAddress(peersAddress)),
+    metrics = requireNotNull(parseAddress(metricsAddress)),
     storeAddress = storeAddress,
     adviceAddress = adviceAddress,
     processorShare = processorShare * processors,
@@ -90,7 +90,7 @@
     ),
 )
 
-private fun addressOf(text: String): ListenAddress? {
+private fun parseAddress(text: String): ListenAddress? {
     val port = text.substringAfterLast(':', "").toIntOrNull() ?: return null
     val host = text.substringBeforeLast(':')
     return if (host.isEmpty()) null else ListenAddress(host, port)
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/ClusterSettingsFileTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/ClusterSettingsFileTest.kt
@@ -33,7 +33,7 @@
     /** Guards against validation that stops at the first error. */
     @Test
     fun `all errors are reported at once`() {
-        val faults = readClusterSettings(rendered("nowhere")).swap().getOrNull().orEmpty()
-        assertTrue(faults.size >= 3, faults.toString())
+        val errors = readClusterSettings(rendered("nowhere")).swap().getOrNull().orEmpty()
+        assertTrue(errors.size >= 3, errors.toString())
     }
 }
