--- a/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterProcess.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterProcess.kt
@@ -86,7 +86,8 @@
         peerClient.call(peer, CONFIG_CALL, ConfigRequest(version), CONFIG_TIMEOUT_MS)?.content
     }
     private val metrics = ClusterMetrics({ config.current?.version ?: 0 }, { election.currentTerm?.term ?: 0 })
-    private val localJobs: JobDesk = createStoreDesk(store, SteadyClock, { health.isAvailable }, scope)
+    private val localJobs: JobDesk =
+        createStoreDesk(store, SteadyClock, { health.isAvailable }, scope)
     private val jobs = JobRequestForwarder(localJobs, health, { directory.peers }, peerClient)
     private val election: LeaderElection = LeaderElection(
         store,
