--- a/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterSettingsFile.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterSettingsFile.kt
@@ -1,4 +1,4 @@
-/** The settings file of a process on the platform: JSON with comments, filled in from deploy/settings.json. */
+/** Settings file of a cluster process: JSON with comments, rendered from the template deploy/settings.json. */
 package dev.bronzeshore.server.cluster
 
 import arrow.core.Either
@@ -11,7 +11,7 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.json.Json
 
-/** Times and factors that hold on the platform. */
+/** Time limits and factors that the platform guarantees or requires. */
 @Serializable
 internal data class BoundsSection(
     val maxLeaseMs: Long,
@@ -47,15 +47,15 @@
 
 private const val MS_PER_SECOND = 1_000
 
-/** Reads the settings; a left result lists all faults. */
+/** Parses and validates the settings; a left result lists all errors. */
 internal fun readClusterSettings(text: String): Either<List<String>, ClusterSettings> {
     val file = Either.catch { SettingsJson.decodeFromString(ClusterSettingsFile.serializer(), text) }
         .fold({ return listOf(it.message ?: "malformed settings").left() }, { it })
-    val faults = faultsOf(file)
-    return if (faults.isEmpty()) file.toSettings().right() else faults.left()
+    val errors = findErrors(file)
+    return if (errors.isEmpty()) file.toSettings().right() else errors.left()
 }
 
-private fun faultsOf(file: ClusterSettingsFile): List<String> = buildList {
+private fun findErrors(file: ClusterSettingsFile): List<String> = buildList {
     val addresses = mapOf(
         "callersAddress" to file.callersAddress,
         "readinessAddress" to file.readinessAddress,
@@ -63,7 +63,7 @@
         "metricsAddress" to file.metricsAddress,
         "storeAddress" to file.storeAddress,
     )
-    for ((name, value) in addresses) if (addressOf(value) == null) add("$name: '$value' is not HOST:PORT")
+    for ((name, value) in addresses) if (parseAddress(value) == null) add("$name: '$value' is not HOST:PORT")
     if (file.processName.isBlank()) add("processName: must not be empty")
     if (file.bounds.maxLeaseMs <= 0) add("bounds.maxLeaseMs: must be greater than 0")
 }
@@ -71,10 +71,10 @@
 private fun ClusterSettingsFile.toSettings() = ClusterSettings(
     processName = processName,
     dataCentre = dataCentre,
-    callers = requireNotNull(addressOf(callersAddress)),
-    readiness = requireNotNull(addressOf(readinessAddress)),
-    peers = requireNotNull(addressOf(peersAddress)),
-    metrics = requireNotNull(addressOf(metricsAddress)),
+    callers = requireNotNull(parseAddress(callersAddress)),
+    readiness = requireNotNull(parseAddress(readinessAddress)),
+    peers = requireNotNull(parseAddress(peersAddress)),
+    metrics = requireNotNull(parseAddress(metricsAddress)),
     storeAddress = storeAddress,
     adviceAddress = adviceAddress,
     processorShare = processorShare * processors,
@@ -90,7 +90,7 @@
     ),
 )
 
-private fun addressOf(text: String): ListenAddress? {
+private fun parseAddress(text: String): ListenAddress? {
     val port = text.substringAfterLast(':', "").toIntOrNull() ?: return null
     val host = text.substringBeforeLast(':')
     return if (host.isEmpty()) null else ListenAddress(host, port)
