--- a/placement/src/main/kotlin/dev/bronzeshore/placement/PlacementEngine.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/PlacementEngine.kt
@@ -17,21 +17,21 @@
 /**
  * Implements [WorkPlacer] for the control thread; not thread-safe.
  *
- * [mayStop] says whether parts of a job may be stopped without a checkpoint when an ordered checkpoint did not end
- * them; it must be false for jobs that may not run twice. [learnUsage] turns the lowering and raising of charges by
+ * [isIdempotent] says whether parts of a job may be stopped without a checkpoint when an ordered checkpoint did not end
+ * them; it must be false for jobs that may not run twice. [estimateUsage] turns the lowering and raising of charges by
  * usage reports on.
  */
 public class PlacementEngine(
     clock: ClockMs,
-    mayStop: (jobId: String) -> Boolean = { false },
-    private val learnUsage: Boolean = true,
+    isIdempotent: (jobId: String) -> Boolean = { false },
+    private val estimateUsage: Boolean = true,
 ) : WorkPlacer {
     private val workers = WorkerTable()
     private val queue = WorkQueue { workers.sizeClassOf(it) }
     private val book = JobBook(clock, workers, queue)
     private val reservations = ReservationBook(workers, queue)
     private val checker = JobChecker(clock, workers, book, reservations)
-    private val preemptions = PreemptionPlanner(clock, book.shares, mayStop)
+    private val preemptions = PreemptionPlanner(clock, book.shares, isIdempotent)
     private val planner = ReservationPlanner(clock, workers, book.shares, reservations, preemptions)
     private val starter = PartStarter(workers, book)
     private val backfill = Backfill(clock, workers, queue, starter, reservations)
@@ -116,7 +116,7 @@
 
     override fun reportUsage(jobId: String, part: Int, workerId: String, used: Resources) {
         val running = book.jobs[jobId]?.running?.get(part) ?: return
-        if (learnUsage && running.worker.workerId == workerId) usage.report(running, used)
+        if (estimateUsage && running.worker.workerId == workerId) usage.report(running, used)
     }
 
     override fun decide(limit: Int): Decisions {
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/PreemptionPlanner.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/PreemptionPlanner.kt
@@ -8,11 +8,11 @@
 import dev.bronzeshore.core.TaskAction
 import dev.bronzeshore.core.Urgency
 
-/** [mayStop] says whether a job's parts may be stopped without a checkpoint if a checkpoint does not come. */
+/** [isIdempotent] says whether a job's parts may be stopped without a checkpoint if a checkpoint does not come. */
 internal class PreemptionPlanner(
     private val clock: ClockMs,
     private val shares: ShareAccounts,
-    private val mayStop: (jobId: String) -> Boolean,
+    private val isIdempotent: (jobId: String) -> Boolean,
 ) {
     private val stopping: LinkedHashSet<RunningPart> = LinkedHashSet()
     private val orders: ArrayList<Preemption> = ArrayList()
@@ -94,7 +94,7 @@
         while (stopping.isNotEmpty()) {
             val oldest = stopping.first()
             if ((oldest.stopOrderedAtMs ?: 0) + REPEAT_AFTER_MS > nowMs) return
-            val action = if (mayStop(oldest.job.item.jobId)) TaskAction.STOP else TaskAction.CHECKPOINT
+            val action = if (isIdempotent(oldest.job.item.jobId)) TaskAction.STOP else TaskAction.CHECKPOINT
             emit(oldest, nowMs, action)
         }
     }
--- a/placement/src/test/kotlin/dev/bronzeshore/placement/PolicyTest.kt
+++ b/placement/src/test/kotlin/dev/bronzeshore/placement/PolicyTest.kt
@@ -44,7 +44,7 @@
         assertEquals(listOf(Placement("urgent", 0, "w0")), engine.decide(10).placements)
     }
 
-    private class OrderCase(val name: String, val mayStop: Boolean, val second: TaskAction)
+    private class OrderCase(val name: String, val isIdempotent: Boolean, val second: TaskAction)
 
     /** Guards against urgent work that waits for ever after an order was lost, and against running work twice. */
     @TestFactory
@@ -53,7 +53,7 @@
         OrderCase("may not run twice", false, TaskAction.CHECKPOINT),
     ).map { case ->
         dynamicTest(case.name) {
-            val engine = PlacementEngine({ clock.nowMs }, mayStop = { case.mayStop })
+            val engine = PlacementEngine({ clock.nowMs }, isIdempotent = { case.isIdempotent })
             engine.putWorker(worker("w0"))
             engine.setAllowances(listOf(allowance("p")))
             engine.submit(job("patient", cores(8), urgency = Urgency.PATIENT))
--- a/server/src/main/kotlin/dev/bronzeshore/server/DataCentreSupervisor.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/DataCentreSupervisor.kt
@@ -113,7 +113,7 @@
             context.controlScope.coroutineContext + SupervisorJob(context.controlScope.coroutineContext.job),
         )
         var handled: DataCentreJobs? = null
-        val placer = PlacementEngine(context.clock, mayStop = { jobId -> handled?.isIdempotent(jobId) == true })
+        val placer = PlacementEngine(context.clock, isIdempotent = { jobId -> handled?.isIdempotent(jobId) == true })
         val jobs = DataCentreJobs(
             JobsContext(
                 authority = OwnerAuthority(
