--- a/placement/src/main/kotlin/dev/bronzeshore/placement/WaitingShapes.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/BlockedQueues.kt
@@ -4,7 +4,7 @@
 import dev.bronzeshore.core.Resources
 import java.util.TreeSet
 
-internal class WaitingShapes {
+internal class BlockedQueues {
     private val inOrder: TreeSet<ShapeQueue> = TreeSet()
 
     /** No waiting queue asks for less than this; may be too low after removals. */
@@ -29,13 +29,13 @@
     fun asSequence(): Sequence<ShapeQueue> = inOrder.asSequence()
 
     /** Returns the first queue in [state] whose parts fit into [room] and that [accepts] approves, or null. */
-    fun firstFitting(room: Resources, state: QueueState, accepts: (ShapeQueue) -> Boolean): ShapeQueue? {
-        if (leastMillicores > room.processorsMillicores || leastBytes > room.memoryBytes) return null
+    fun firstFitting(available: Resources, state: QueueState, accepts: (ShapeQueue) -> Boolean): ShapeQueue? {
+        if (leastMillicores > available.processorsMillicores || leastBytes > available.memoryBytes) return null
         var millicores = Long.MAX_VALUE
         var bytes = Long.MAX_VALUE
         for (queue in inOrder) {
             val size = queue.shape.size
-            if (queue.state == state && size.fitsIn(room) && accepts(queue)) return queue
+            if (queue.state == state && size.fitsIn(available) && accepts(queue)) return queue
             millicores = minOf(millicores, size.processorsMillicores)
             bytes = minOf(bytes, size.memoryBytes)
         }
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/BlockedWorkReview.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/BlockedWorkPlanner.kt
@@ -8,11 +8,11 @@
  *
  * Each kind is looked at about every [CYCLE_MS]; nothing here depends on a single event.
  */
-internal class BlockedWorkReview(
+internal class BlockedWorkPlanner(
     private val clock: ClockMs,
     private val queue: WorkQueue,
-    private val shares: ShareAccounts,
-    private val reservations: ReservationBook,
+    private val shares: FairShareTracker,
+    private val reservations: ReservationRegistry,
     private val planner: ReservationPlanner,
     private val round: RoundPlanner,
 ) {
@@ -28,8 +28,8 @@
         if (!cycle.hasNext()) {
             if (nowMs < nextCycleMs) return
             nextCycleMs = nowMs + CYCLE_MS
-            cycleSize = queue.waitingKinds.size
-            cycle = queue.waitingKinds.toList().iterator()
+            cycleSize = queue.blockedKinds.size
+            cycle = queue.blockedKinds.toList().iterator()
         }
         val elapsedMs = if (lastRunMs == Long.MIN_VALUE) CYCLE_MS else (nowMs - lastRunMs).coerceIn(0, CYCLE_MS)
         lastRunMs = nowMs
@@ -39,33 +39,33 @@
     }
 
     private fun enforce(reservation: Reservation, nowMs: Long) {
-        if (reservations.isFree(reservation)) {
-            round.serveLater(reservation)
-        } else if (!planner.enforce(reservation) && nowMs >= reservation.startAtMs + GIVE_UP_AFTER_MS) {
-            reservations.drop(reservation)
+        if (reservations.isCapacityFree(reservation)) {
+            round.markForServing(reservation)
+        } else if (!planner.enforce(reservation) && nowMs >= reservation.startAtMs + DISCARD_AFTER_MS) {
+            reservations.remove(reservation)
         }
-        reservations.checkAgain(reservation, nowMs + CHECK_AGAIN_MS)
+        reservations.rescheduleCheck(reservation, nowMs + RECHECK_AFTER_MS)
     }
 
     private fun reviewKind(kind: KindQueue, nowMs: Long) {
-        if (kind.waiting.isEmpty) return
-        val head = kind.waiting.first().jobs.first()
+        if (kind.blocked.isEmpty) return
+        val head = kind.blocked.first().jobs.first()
         val waitedMs = nowMs - head.waitingSinceMs
         when {
-            head.isPressing(nowMs) -> keepForPressing(kind, nowMs)
+            head.isTimeCritical(nowMs) -> reserveTimeCritical(kind, nowMs)
             head.isGang -> if (head.reservations.isEmpty()) step { planner.reserveGang(head) }
-            waitedMs < KEEP_AFTER_MS -> Unit
-            shares.isEntitled(kind, head.item.size) -> keepShare(kind, nowMs)
-            waitedMs >= KEEP_LENT_AFTER_MS && kind.shareReservations == 0 -> step { planner.reserveOne(head) }
+            waitedMs < RESERVE_AFTER_MS -> Unit
+            shares.isWithinShare(kind, head.item.size) -> reserveShare(kind, nowMs)
+            waitedMs >= RESERVE_ABOVE_SHARE_AFTER_MS && kind.shareReservations == 0 -> step { planner.reserveOne(head) }
         }
     }
 
-    private fun keepForPressing(kind: KindQueue, nowMs: Long) {
-        kind.waiting.asSequence()
+    private fun reserveTimeCritical(kind: KindQueue, nowMs: Long) {
+        kind.blocked.asSequence()
             .take(MAX_QUEUES_PER_KIND)
-            .filter { it.jobs.first().isPressing(nowMs) }
+            .filter { it.jobs.first().isTimeCritical(nowMs) }
             .toList()
-            .forEach { if (stepsLeft > 0) step { round.reserveForAll(it) } }
+            .forEach { if (stepsLeft > 0) step { round.reserveForTimeCritical(it) } }
     }
 
     private inline fun <T> step(action: () -> T): T {
@@ -74,46 +74,48 @@
     }
 
     /** Keeps room for waiting parts of [kind] up to its share: one part at a time would return the share too slowly. */
-    private fun keepShare(kind: KindQueue, nowMs: Long) {
-        val candidates = kind.waiting.asSequence()
+    private fun reserveShare(kind: KindQueue, nowMs: Long) {
+        val candidates = kind.blocked.asSequence()
             .filter { it.shape.gangParts == 0 }
             .take(MAX_QUEUES_PER_KIND)
             .flatMap { it.jobs }
             .filter { it.reservations.size < it.pending.size }
-            .take(MAX_KEPT_PER_KIND)
+            .take(MAX_SHARE_RESERVATIONS_PER_KIND)
         for (job in candidates.toList()) {
             repeat(job.pending.size - job.reservations.size) {
-                val mayKeep = stepsLeft > 0 &&
-                    kind.shareReservations < MAX_KEPT_PER_KIND &&
-                    shares.isEntitled(kind, job.item.size)
-                if (!mayKeep || !step { keepOne(job, nowMs) }) return
+                val mayReserve = stepsLeft > 0 &&
+                    kind.shareReservations < MAX_SHARE_RESERVATIONS_PER_KIND &&
+                    shares.isWithinShare(kind, job.item.size)
+                if (!mayReserve || !step { reserveOnePart(job, nowMs) }) return
             }
         }
     }
 
     /** Running work that ends soon makes room without a disturbance; borrowers leave only if nothing else helps. */
-    private fun keepOne(job: JobEntry, nowMs: Long): Boolean =
-        planner.reserveOne(job, latestMs = nowMs + SOON_MS) || planner.returnShare(job) || planner.reserveOne(job)
+    private fun reserveOnePart(job: JobEntry, nowMs: Long): Boolean =
+        planner.reserveOne(job, latestMs = nowMs + MAX_WAIT_BEFORE_RECLAIM_MS) ||
+            planner.reclaimShare(job) ||
+            planner.reserveOne(job)
 
     private companion object {
         const val CYCLE_MS = 100L
         const val MAX_STEPS = 32L
         const val MAX_QUEUES_PER_KIND = 8
-        const val MAX_KEPT_PER_KIND = 64
+        const val MAX_SHARE_RESERVATIONS_PER_KIND = 64
 
         /** Most waits are shorter, because running work ends; kept room is idle room. */
-        const val KEEP_AFTER_MS = 200L
+        const val RESERVE_AFTER_MS = 200L
 
         /** Within this time a kind below its share waits for running work rather than stopping a borrower. */
-        const val SOON_MS = 5_000L
+        const val MAX_WAIT_BEFORE_RECLAIM_MS = 5_000L
 
         /** A kind above its share has no claim to more, but its large jobs must not wait for ever behind small ones. */
-        const val KEEP_LENT_AFTER_MS = 30_000L
+        const val RESERVE_ABOVE_SHARE_AFTER_MS = 30_000L
 
         /** Longer than a checkpoint (2 s) and its repetition (after 3 s). */
-        const val CHECK_AGAIN_MS = 4_000L
+        const val RECHECK_AFTER_MS = 4_000L
 
         /** A reservation whose room cannot be had by then is planned anew. */
-        const val GIVE_UP_AFTER_MS = 10_000L
+        const val DISCARD_AFTER_MS = 10_000L
     }
 }
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/ShareAccounts.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/FairShareTracker.kt
@@ -9,13 +9,13 @@
  *
  * Only plans and kinds with pending or running work count, so an unused share is lent to the others.
  */
-internal class ShareAccounts(private val workers: WorkerTable, private val plans: Collection<PlanAccount>) {
+internal class FairShareTracker(private val workers: WorkerRegistry, private val plans: Collection<PlanState>) {
     private var knownVersion = -1L
     private var version = 0L
     private var knownTotal = Resources.NONE
 
     /** To be called when a kind starts or stops to have work, or a weight changes. */
-    fun changed() {
+    fun invalidate() {
         version++
     }
 
@@ -26,49 +26,49 @@
         knownTotal = workers.totalCapacity
         val planWeights = plans.filter { it.isActive() }.sumOf { it.shareWeight }
         for (plan in plans) {
-            plan.dominantMicros = dominantMicros(plan.used)
+            plan.dominantShareMicros = dominantShareMicros(plan.used)
             val planMicros = minOf(MICROS * plan.shareWeight / maxOf(1, planWeights), limitMicros(plan))
             val kindWeights = plan.kinds.values.filter { it.isActive }.sumOf { it.weight }
             for (kind in plan.kinds.values) {
-                kind.dominantMicros = dominantMicros(kind.used)
-                kind.entitledMicros = if (kind.isActive) planMicros * kind.weight / kindWeights else 0
+                kind.dominantShareMicros = dominantShareMicros(kind.used)
+                kind.fairShareMicros = if (kind.isActive) planMicros * kind.weight / kindWeights else 0
             }
         }
     }
 
     /** Records that the kind of [job] uses [change] more (or less, if negative). */
-    fun use(job: JobEntry, change: Resources) {
+    fun recordUsage(job: JobEntry, change: Resources) {
         val kind = job.kindQueue
         if (job.item.urgency == Urgency.URGENT) kind.urgentUsed += change
         kind.used += change
         kind.plan.used += change
-        kind.dominantMicros = dominantMicros(kind.used)
-        kind.plan.dominantMicros = dominantMicros(kind.plan.used)
+        kind.dominantShareMicros = dominantShareMicros(kind.used)
+        kind.plan.dominantShareMicros = dominantShareMicros(kind.plan.used)
     }
 
     /** True if [size] more for [kind] stays within its share together with what is already kept for it. */
-    fun isEntitled(kind: KindQueue, size: Resources): Boolean =
-        dominantMicros(kind.used + kind.reserved + size) <= kind.entitledMicros
+    fun isWithinShare(kind: KindQueue, size: Resources): Boolean =
+        dominantShareMicros(kind.used + kind.reserved + size) <= kind.fairShareMicros
 
     /** The same for urgent work, which may displace other work of its own kind: only pressing use counts. */
-    fun isEntitledToUrgent(kind: KindQueue, size: Resources): Boolean =
-        dominantMicros(kind.urgentUsed + kind.reserved + size) <= kind.entitledMicros
+    fun isUrgentWithinShare(kind: KindQueue, size: Resources): Boolean =
+        dominantShareMicros(kind.urgentUsed + kind.reserved + size) <= kind.fairShareMicros
 
     /** True if the kind of [running] is at or above its share even without it; urgent work is counted separately. */
-    fun isLent(running: RunningPart): Boolean {
+    fun usesBorrowedShare(running: RunningPart): Boolean {
         val kind = running.job.kindQueue
         val counted = if (running.job.item.urgency == Urgency.URGENT) kind.urgentUsed else kind.used
-        return dominantMicros(counted - running.job.item.size) >= kind.entitledMicros
+        return dominantShareMicros(counted - running.job.item.size) >= kind.fairShareMicros
     }
 
     /** The kinds that use most above their share, largest excess first. */
     fun borrowers(): List<KindQueue> = plans
         .flatMap { it.kinds.values }
-        .filter { it.dominantMicros > it.entitledMicros }
-        .sortedByDescending { it.dominantMicros - it.entitledMicros }
+        .filter { it.dominantShareMicros > it.fairShareMicros }
+        .sortedByDescending { it.dominantShareMicros - it.fairShareMicros }
         .take(MAX_BORROWERS)
 
-    fun dominantMicros(size: Resources): Long {
+    fun dominantShareMicros(size: Resources): Long {
         val total = workers.totalCapacity
         return maxOf(
             micros(size.processorsMillicores, total.processorsMillicores),
@@ -78,7 +78,7 @@
     }
 
     /** A plan's kinds share what its limit allows if that is less than its weight gives. */
-    private fun limitMicros(plan: PlanAccount): Long {
+    private fun limitMicros(plan: PlanState): Long {
         val limit = plan.limit ?: return 0
         val total = workers.totalCapacity
         return minOf(
@@ -89,7 +89,7 @@
 
     private fun micros(part: Long, total: Long): Long = when {
         total == 0L -> 0
-        total <= MOST_EXACT -> part * MICROS / total
+        total <= MAX_EXACT_TOTAL -> part * MICROS / total
         else -> {
             // Drops low bits that a share in millionths does not need, so that the product fits into a long.
             val shift = Long.SIZE_BITS - total.countLeadingZeroBits() - EXACT_BITS
@@ -103,6 +103,6 @@
 
         /** A product of this and [MICROS] still fits into a long. */
         const val EXACT_BITS = 42
-        const val MOST_EXACT = 1L shl EXACT_BITS
+        const val MAX_EXACT_TOTAL = 1L shl EXACT_BITS
     }
 }
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/FitScore.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/FitScore.kt
@@ -12,17 +12,17 @@
      *
      * docs/decisions/0002-placement-policy.md has the scores that were measured and did no better.
      */
-    fun tight(room: WorkerRoom, size: Resources): Long {
-        val free = room.free
-        val capacity = room.capacity
+    fun tight(worker: WorkerState, size: Resources): Long {
+        val free = worker.free
+        val capacity = worker.capacity
         return leftOver(free.processorsMillicores, size.processorsMillicores, capacity.processorsMillicores) +
             leftOver(free.memoryBytes, size.memoryBytes, capacity.memoryBytes) +
             leftOver(free.accelerators, size.accelerators, capacity.accelerators)
     }
 
     /** Best fit among the racks that hold the fewest parts of the same job; [partsInRack] counts them. */
-    fun spread(room: WorkerRoom, size: Resources, partsInRack: Int): Long =
-        partsInRack * RACK_PENALTY + tight(room, size)
+    fun spread(worker: WorkerState, size: Resources, partsInRack: Int): Long =
+        partsInRack * RACK_PENALTY + tight(worker, size)
 
     private fun leftOver(free: Long, size: Long, capacity: Long): Long =
         if (capacity == 0L) 0 else (free - size) / (capacity / SCALE + 1)
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/FleetCapacity.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/FleetCapacity.kt
@@ -19,22 +19,22 @@
      */
     fun sizeClassOf(size: Resources): Int {
         if (workerCount == 0) return 0
-        val part = maxOf(
-            partOf(size.processorsMillicores, total.processorsMillicores),
-            partOf(size.memoryBytes, total.memoryBytes),
-            partOf(size.accelerators, total.accelerators),
+        val relativeSize = maxOf(
+            relativeToAverage(size.processorsMillicores, total.processorsMillicores),
+            relativeToAverage(size.memoryBytes, total.memoryBytes),
+            relativeToAverage(size.accelerators, total.accelerators),
         )
-        val magnitude = Long.SIZE_BITS - part.countLeadingZeroBits()
-        val isUpperHalf = magnitude >= 2 && (part shr (magnitude - 2)) and 1L == 1L
+        val magnitude = Long.SIZE_BITS - relativeSize.countLeadingZeroBits()
+        val isUpperHalf = magnitude >= 2 && (relativeSize shr (magnitude - 2)) and 1L == 1L
         return magnitude * 2 + if (isUpperHalf) 1 else 0
     }
 
-    private fun partOf(size: Long, total: Long): Long = if (total ==
+    private fun relativeToAverage(size: Long, total: Long): Long = if (total ==
         0L
     ) {
         0
     } else {
-        size * PARTS / maxOf(1, total / workerCount)
+        size * SIZE_SCALE / maxOf(1, total / workerCount)
     }
 
     fun change(capacity: Resources, workers: Int) {
@@ -48,21 +48,21 @@
     fun fits(size: Resources, parts: Int): Boolean {
         if (workersByCapacity.isEmpty()) return true
         var fitting = 0L
-        for ((capacity, workers) in workersByCapacity) fitting += size.timesIn(capacity) * workers
+        for ((capacity, workers) in workersByCapacity) fitting += size.timesFittingIn(capacity) * workers
         return fitting >= parts
     }
 
     private companion object {
         /** Fine enough to tell a hundredth of a core from a tenth, and small enough to multiply bytes by it. */
-        const val PARTS = 65_536L
+        const val SIZE_SCALE = 65_536L
     }
 }
 
 /** How many times this size fits into [room]. */
-internal fun Resources.timesIn(room: Resources): Long = minOf(
-    quotient(room.processorsMillicores, processorsMillicores),
-    quotient(room.memoryBytes, memoryBytes),
-    quotient(room.accelerators, accelerators),
+internal fun Resources.timesFittingIn(available: Resources): Long = minOf(
+    quotient(available.processorsMillicores, processorsMillicores),
+    quotient(available.memoryBytes, memoryBytes),
+    quotient(available.accelerators, accelerators),
 )
 
-private fun quotient(room: Long, size: Long): Long = if (size == 0L) Int.MAX_VALUE.toLong() else room / size
+private fun quotient(available: Long, size: Long): Long = if (size == 0L) Int.MAX_VALUE.toLong() else available / size
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/FreeRoomIndex.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/FreeCapacityIndex.kt
@@ -10,12 +10,12 @@
  * cannot hold the wanted size. Updates and queries take O(log n) steps unless many workers have room in one dimension
  * and none in another.
  */
-internal class FreeRoomIndex(private val keyOf: (Resources) -> Long) {
+internal class FreeCapacityIndex(private val keyOf: (Resources) -> Long) {
     private var left = IntArray(INITIAL_SLOTS)
     private var right = IntArray(INITIAL_SLOTS)
     private var present = BooleanArray(INITIAL_SLOTS)
     private var keys = LongArray(INITIAL_SLOTS)
-    private var room = LongArray(INITIAL_SLOTS * DIMENSIONS)
+    private var free = LongArray(INITIAL_SLOTS * DIMENSIONS)
     private var largest = LongArray(INITIAL_SLOTS * DIMENSIONS)
     private var root = NONE
     private var splitLeft = NONE
@@ -27,14 +27,14 @@
     fun put(slot: Int, size: Resources) {
         if (slot >= left.size) grow(slot)
         if (present[slot]) {
-            if (isAt(slot, size)) return
+            if (isUnchanged(slot, size)) return
             root = delete(root, slot)
         }
         present[slot] = true
         keys[slot] = keyOf(size)
-        room[slot * DIMENSIONS] = size.processorsMillicores
-        room[slot * DIMENSIONS + 1] = size.memoryBytes
-        room[slot * DIMENSIONS + 2] = size.accelerators
+        free[slot * DIMENSIONS] = size.processorsMillicores
+        free[slot * DIMENSIONS + 1] = size.memoryBytes
+        free[slot * DIMENSIONS + 2] = size.accelerators
         left[slot] = NONE
         right[slot] = NONE
         update(slot)
@@ -62,7 +62,7 @@
     }
 
     /** True if no single worker can fit [size]; false says nothing. */
-    fun surelyLacks(size: Resources): Boolean = root == NONE || !mayFit(root, size)
+    fun cannotFit(size: Resources): Boolean = root == NONE || !mayFit(root, size)
 
     private fun collect(node: Int, size: Resources, key: Long, into: IntArray) {
         if (node == NONE || found == into.size || !mayFit(node, size)) return
@@ -80,7 +80,7 @@
 
     private fun mayFit(node: Int, size: Resources): Boolean = within(largest, node, size)
 
-    private fun fits(node: Int, size: Resources): Boolean = within(room, node, size)
+    private fun fits(node: Int, size: Resources): Boolean = within(free, node, size)
 
     private fun within(bounds: LongArray, node: Int, size: Resources): Boolean {
         val at = node * DIMENSIONS
@@ -89,11 +89,11 @@
             size.accelerators <= bounds[at + 2]
     }
 
-    private fun isAt(slot: Int, size: Resources): Boolean {
+    private fun isUnchanged(slot: Int, size: Resources): Boolean {
         val at = slot * DIMENSIONS
-        return room[at] == size.processorsMillicores &&
-            room[at + 1] == size.memoryBytes &&
-            room[at + 2] == size.accelerators
+        return free[at] == size.processorsMillicores &&
+            free[at + 1] == size.memoryBytes &&
+            free[at + 2] == size.accelerators
     }
 
     private fun insert(node: Int, slot: Int): Int {
@@ -153,7 +153,7 @@
     private fun update(node: Int) {
         for (dimension in 0 until DIMENSIONS) {
             val at = node * DIMENSIONS + dimension
-            var most = room[at]
+            var most = free[at]
             if (left[node] != NONE) most = maxOf(most, largest[left[node] * DIMENSIONS + dimension])
             if (right[node] != NONE) most = maxOf(most, largest[right[node] * DIMENSIONS + dimension])
             largest[at] = most
@@ -164,7 +164,8 @@
         keys[slot] < keys[other] || (keys[slot] == keys[other] && slot < other)
 
     /** A fixed scramble of the slot number keeps the tree balanced and each run reproducible. */
-    private fun priority(slot: Int): Int = ((slot + 1) * SCRAMBLE) xor ((slot + 1) * SCRAMBLE ushr SCRAMBLE_SHIFT)
+    private fun priority(slot: Int): Int =
+        ((slot + 1) * HASH_MULTIPLIER) xor ((slot + 1) * HASH_MULTIPLIER ushr HASH_SHIFT)
 
     private fun grow(slot: Int) {
         val slots = maxOf(slot + 1, left.size * 2)
@@ -172,7 +173,7 @@
         right = right.copyOf(slots)
         present = present.copyOf(slots)
         keys = keys.copyOf(slots)
-        room = room.copyOf(slots * DIMENSIONS)
+        free = free.copyOf(slots * DIMENSIONS)
         largest = largest.copyOf(slots * DIMENSIONS)
     }
 
@@ -182,7 +183,7 @@
         const val INITIAL_SLOTS = 64
 
         /** Odd constant near 2^32 divided by the golden ratio, as in multiplicative hashing. */
-        const val SCRAMBLE = -1_640_531_527
-        const val SCRAMBLE_SHIFT = 15
+        const val HASH_MULTIPLIER = -1_640_531_527
+        const val HASH_SHIFT = 15
     }
 }
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/JobChecker.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/JobChecker.kt
@@ -10,9 +10,9 @@
 
 internal class JobChecker(
     private val clock: ClockMs,
-    private val workers: WorkerTable,
-    private val book: JobBook,
-    private val reservations: ReservationBook,
+    private val workers: WorkerRegistry,
+    private val registry: JobRegistry,
+    private val reservations: ReservationRegistry,
 ) {
     /** True once allowances were set; until then no job is refused for its plan. */
     var allowancesKnown: Boolean = false
@@ -20,43 +20,43 @@
     /** Set when the fleet or an allowance changed, so that queued jobs are checked again. */
     var fleetChanged: Boolean = false
 
-    fun impossible(item: WorkItem): Fault? {
-        val together = if (item.isGang()) item.pendingParts.size else 1
-        if (!workers.fitsEmptyFleet(item.size, together)) {
-            return Fault(ResultCode.FITS_NOWHERE, "no worker of the fleet fits ${item.size} x $together, even empty")
+    fun checkFeasibility(item: WorkItem): Fault? {
+        val partsAtOnce = if (item.isGang()) item.pendingParts.size else 1
+        if (!workers.fitsEmptyFleet(item.size, partsAtOnce)) {
+            return Fault(ResultCode.FITS_NOWHERE, "no worker of the fleet fits ${item.size} x $partsAtOnce, even empty")
         }
-        val limit = book.plans[item.plan]?.limit ?: Resources.NONE
-        return if (allowancesKnown && !(item.size * together).fitsIn(limit)) {
-            Fault(ResultCode.OVER_ALLOWANCE, "${item.size} x $together exceeds the allowance of plan ${item.plan}")
+        val limit = registry.plans[item.plan]?.limit ?: Resources.NONE
+        return if (allowancesKnown && !(item.size * partsAtOnce).fitsIn(limit)) {
+            Fault(ResultCode.OVER_ALLOWANCE, "${item.size} x $partsAtOnce exceeds the allowance of plan ${item.plan}")
         } else {
             null
         }
     }
 
-    fun passed(item: WorkItem): Fault? {
+    fun checkDeadline(item: WorkItem): Fault? {
         val startBeforeMs = item.startBeforeMs ?: return null
         return if (startBeforeMs < clock()) deadlinePassed() else null
     }
 
     /** Ends queued jobs whose latest start has passed or that became impossible. */
-    fun refuseEnded(refusals: MutableList<Refusal>) {
+    fun refuseInfeasible(refusals: MutableList<Refusal>) {
         val nowMs = clock()
         while (true) {
-            val job = book.deadlines.pollPassed(nowMs) ?: break
+            val job = registry.deadlines.pollExpired(nowMs) ?: break
             refuse(job, deadlinePassed(), refusals)
         }
         if (!fleetChanged) return
         fleetChanged = false
-        for (job in book.jobs.values.filter { it.shapeQueue != null && !it.started }) {
-            impossible(job.item)?.let { refuse(job, it, refusals) }
+        for (job in registry.jobs.values.filter { it.shapeQueue != null && !it.started }) {
+            checkFeasibility(job.item)?.let { refuse(job, it, refusals) }
         }
     }
 
     private fun refuse(job: JobEntry, fault: Fault, refusals: MutableList<Refusal>) {
-        reservations.dropAll(job)
-        book.dequeue(job)
+        reservations.removeAllOf(job)
+        registry.dequeue(job)
         job.pending.clear()
-        book.forgetIfDone(job)
+        registry.removeIfDone(job)
         refusals.add(Refusal(job.item.jobId, fault))
     }
 
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/JobEntry.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/JobEntry.kt
@@ -19,7 +19,7 @@
     /** Number of running parts in each rack; kept for work that is spread over racks. */
     val partsByRack: HashMap<String, Int> = HashMap()
 
-    val budget: DisturbanceBudget = DisturbanceBudget()
+    val budget: PreemptionBudget = PreemptionBudget()
 
     /** Queue that holds the job while parts are pending. */
     var shapeQueue: ShapeQueue? = null
@@ -41,8 +41,8 @@
     val orderMs: Long = if (isImportant) item.startBeforeMs ?: Long.MAX_VALUE else item.acceptedAtMs
 
     /** True for urgent work and for important work that is close to its latest start. */
-    fun isPressing(nowMs: Long): Boolean = item.urgency == Urgency.URGENT ||
-        (isImportant && item.startBeforeMs.let { it != null && nowMs >= it - PRESSING_BEFORE_MS })
+    fun isTimeCritical(nowMs: Long): Boolean = item.urgency == Urgency.URGENT ||
+        (isImportant && item.startBeforeMs.let { it != null && nowMs >= it - TIME_CRITICAL_BEFORE_MS })
 
     override fun compareTo(other: JobEntry): Int {
         val byOrder = orderMs.compareTo(other.orderMs)
@@ -51,6 +51,6 @@
 
     internal companion object {
         /** Leaves time for a checkpoint (2 s), for one that has to be repeated, and for a change of owner. */
-        const val PRESSING_BEFORE_MS: Long = 60_000
+        const val TIME_CRITICAL_BEFORE_MS: Long = 60_000
     }
 }
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/JobBook.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/JobRegistry.kt
@@ -7,18 +7,22 @@
 import dev.bronzeshore.core.WorkItem
 
 /** Keeps queue, worker room, shares and plan usage in step with each other. */
-internal class JobBook(private val clock: ClockMs, private val workers: WorkerTable, private val queue: WorkQueue) {
-    val plans: HashMap<String, PlanAccount> = HashMap()
+internal class JobRegistry(
+    private val clock: ClockMs,
+    private val workers: WorkerRegistry,
+    private val queue: WorkQueue,
+) {
+    val plans: HashMap<String, PlanState> = HashMap()
     val jobs: HashMap<String, JobEntry> = HashMap()
     val deadlines: StartDeadlines = StartDeadlines()
-    val shares: ShareAccounts = ShareAccounts(workers, plans.values)
+    val shares: FairShareTracker = FairShareTracker(workers, plans.values)
     private var nextSequence = 0L
 
-    fun planOf(name: String): PlanAccount = plans.getOrPut(name) { PlanAccount(name) }
+    fun planOf(name: String): PlanState = plans.getOrPut(name) { PlanState(name) }
 
     fun jobOf(item: WorkItem): JobEntry = jobs.getOrPut(item.jobId) {
         val plan = planOf(item.plan)
-        if (plan.kinds[item.kind.name]?.kind?.weight != item.kind.weight) shares.changed()
+        if (plan.kinds[item.kind.name]?.kind?.weight != item.kind.weight) shares.invalidate()
         JobEntry(item, plan.kindQueue(item.kind), nextSequence++)
     }
 
@@ -27,26 +31,26 @@
         if (job.shapeQueue == null) job.waitingSinceMs = clock()
         queue.add(job)
         if (!job.started) deadlines.add(job)
-        countActive(job.kindQueue)
+        updateActive(job.kindQueue)
     }
 
     fun dequeue(job: JobEntry) {
         queue.remove(job)
         deadlines.remove(job)
-        countActive(job.kindQueue)
+        updateActive(job.kindQueue)
     }
 
     /** Takes room on [room] for [part]; the caller has checked that it fits, or has found it running there. */
-    fun start(job: JobEntry, part: Int, room: WorkerRoom): RunningPart {
+    fun start(job: JobEntry, part: Int, worker: WorkerState): RunningPart {
         val nowMs = clock()
-        val running = RunningPart(job, part, room, nowMs, job.item.size)
-        running.isDisturbable = job.mayYield() && job.budget.allows(part, nowMs)
+        val running = RunningPart(job, part, worker, nowMs, job.item.size)
+        running.isPreemptible = job.allowsPreemption() && job.budget.allows(part, nowMs)
         job.running[part] = running
         job.kindQueue.running.add(running)
-        if (job.isSpread) job.partsByRack.merge(room.rack, 1, Int::plus)
-        workers.charge(running)
-        shares.use(job, job.item.size)
-        countActive(job.kindQueue)
+        if (job.isSpread) job.partsByRack.merge(worker.rack, 1, Int::plus)
+        workers.allocate(running)
+        shares.recordUsage(job, job.item.size)
+        updateActive(job.kindQueue)
         return running
     }
 
@@ -57,20 +61,20 @@
         job.kindQueue.running.remove(running)
         if (job.isSpread) job.partsByRack.merge(running.worker.rack, -1, Int::plus)
         workers.release(running)
-        shares.use(job, Resources.NONE - job.item.size)
-        countActive(job.kindQueue)
+        shares.recordUsage(job, Resources.NONE - job.item.size)
+        updateActive(job.kindQueue)
     }
 
-    fun forgetIfDone(job: JobEntry) {
+    fun removeIfDone(job: JobEntry) {
         if (job.pending.isEmpty() && job.running.isEmpty()) jobs.remove(job.item.jobId)
     }
 
-    private fun countActive(kind: KindQueue) {
-        if (kind.isActive == kind.countedActive) return
-        kind.countedActive = kind.isActive
-        shares.changed()
+    private fun updateActive(kind: KindQueue) {
+        if (kind.isActive == kind.isCountedActive) return
+        kind.isCountedActive = kind.isActive
+        shares.invalidate()
     }
 
     /** Interactive work and gangs are never stopped for others: a gang that loses a part has to stop whole. */
-    private fun JobEntry.mayYield(): Boolean = !isGang && item.kind.policy != Policy.INTERACTIVE
+    private fun JobEntry.allowsPreemption(): Boolean = !isGang && item.kind.policy != Policy.INTERACTIVE
 }
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/KindOrder.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/KindOrder.kt
@@ -10,27 +10,27 @@
     /** Returns the queue to serve first among [current] (null for none) and [other], which may be of any kinds. */
     fun first(current: ShapeQueue?, other: ShapeQueue, nowMs: Long): ShapeQueue {
         if (current == null) return other
-        val currentLane = laneOf(current, nowMs)
-        val otherLane = laneOf(other, nowMs)
-        val otherLeads = if (currentLane != otherLane) {
-            otherLane < currentLane
+        val currentTier = tierOf(current, nowMs)
+        val otherTier = tierOf(other, nowMs)
+        val otherLeads = if (currentTier != otherTier) {
+            otherTier < currentTier
         } else {
-            precedes(other, current, otherLane)
+            precedes(other, current, otherTier)
         }
         return if (otherLeads) other else current
     }
 
-    private fun laneOf(queue: ShapeQueue, nowMs: Long): Int = when {
-        !queue.kindQueue.isUnderShare -> LENT
-        queue.jobs.first().isPressing(nowMs) -> PRESSING
-        else -> ENTITLED
+    private fun tierOf(queue: ShapeQueue, nowMs: Long): Int = when {
+        !queue.kindQueue.isBelowShare -> BORROWING
+        queue.jobs.first().isTimeCritical(nowMs) -> TIME_CRITICAL
+        else -> BELOW_SHARE
     }
 
-    private fun precedes(queue: ShapeQueue, other: ShapeQueue, lane: Int): Boolean {
+    private fun precedes(queue: ShapeQueue, other: ShapeQueue, tier: Int): Boolean {
         val byUse = compareUse(queue.kindQueue, other.kindQueue)
         val byRank = queue.rank.compareTo(other.rank)
-        val first = if (lane == LENT) byUse else byRank
-        val second = if (lane == LENT) byRank else byUse
+        val first = if (tier == BORROWING) byUse else byRank
+        val second = if (tier == BORROWING) byRank else byUse
         return when {
             first != 0 -> first < 0
             second != 0 -> second < 0
@@ -39,13 +39,13 @@
     }
 
     private fun compareUse(kind: KindQueue, other: KindQueue): Int {
-        val byPlan = (kind.plan.dominantMicros * other.plan.shareWeight)
-            .compareTo(other.plan.dominantMicros * kind.plan.shareWeight)
+        val byPlan = (kind.plan.dominantShareMicros * other.plan.shareWeight)
+            .compareTo(other.plan.dominantShareMicros * kind.plan.shareWeight)
         if (byPlan != 0) return byPlan
-        return (kind.dominantMicros * other.weight).compareTo(other.dominantMicros * kind.weight)
+        return (kind.dominantShareMicros * other.weight).compareTo(other.dominantShareMicros * kind.weight)
     }
 
-    private const val PRESSING = 0
-    private const val ENTITLED = 1
-    private const val LENT = 2
+    private const val TIME_CRITICAL = 0
+    private const val BELOW_SHARE = 1
+    private const val BORROWING = 2
 }
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/PlacementEngine.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/PlacementEngine.kt
@@ -26,26 +26,26 @@
     isIdempotent: (jobId: String) -> Boolean = { false },
     private val estimateUsage: Boolean = true,
 ) : WorkPlacer {
-    private val workers = WorkerTable()
+    private val workers = WorkerRegistry()
     private val queue = WorkQueue { workers.sizeClassOf(it) }
-    private val book = JobBook(clock, workers, queue)
-    private val reservations = ReservationBook(workers, queue)
-    private val checker = JobChecker(clock, workers, book, reservations)
-    private val preemptions = PreemptionPlanner(clock, book.shares, isIdempotent)
-    private val planner = ReservationPlanner(clock, workers, book.shares, reservations, preemptions)
-    private val starter = PartStarter(workers, book)
-    private val backfill = Backfill(clock, workers, queue, starter, reservations)
+    private val registry = JobRegistry(clock, workers, queue)
+    private val reservations = ReservationRegistry(workers, queue)
+    private val checker = JobChecker(clock, workers, registry, reservations)
+    private val preemptions = PreemptionPlanner(clock, registry.shares, isIdempotent)
+    private val planner = ReservationPlanner(clock, workers, registry.shares, reservations, preemptions)
+    private val starter = PartStarter(workers, registry)
+    private val backfill = BackfillPlanner(clock, workers, queue, starter, reservations)
     private val round = RoundPlanner(clock, workers, queue, starter, reservations, planner, backfill)
-    private val review = BlockedWorkReview(clock, queue, book.shares, reservations, planner, round)
+    private val blockedWork = BlockedWorkPlanner(clock, queue, registry.shares, reservations, planner, round)
     private val usage = UsageTracker(workers, preemptions)
 
     override fun putWorker(worker: PlacementWorker) {
         if (workers.put(worker)) checker.fleetChanged = true
-        if (!worker.accepting) reservations.dropOn(workers.roomOf(worker.workerId))
+        if (!worker.accepting) reservations.removeAllOn(workers.findOrCreate(worker.workerId))
     }
 
     override fun removeWorker(workerId: String) {
-        workers.find(workerId)?.let { reservations.dropOn(it) }
+        workers.find(workerId)?.let { reservations.removeAllOn(it) }
         workers.remove(workerId)
         checker.fleetChanged = true
     }
@@ -53,81 +53,81 @@
     override fun setAllowances(allowances: List<Allowance>) {
         checker.allowancesKnown = true
         checker.fleetChanged = true
-        book.shares.changed()
+        registry.shares.invalidate()
         val byPlan = allowances.associateBy { it.plan }
-        byPlan.keys.forEach { book.planOf(it) }
-        for (plan in book.plans.values) {
+        byPlan.keys.forEach { registry.planOf(it) }
+        for (plan in registry.plans.values) {
             val allowance = byPlan[plan.name]
             plan.limit = allowance?.limit
             plan.weight = allowance?.weight ?: 1
-            queue.limitFreed(plan)
+            queue.retryAtLimit(plan)
         }
     }
 
     override fun check(item: WorkItem): Either<Fault, Unit> =
-        (checker.impossible(item) ?: checker.passed(item))?.left() ?: Unit.right()
+        (checker.checkFeasibility(item) ?: checker.checkDeadline(item))?.left() ?: Unit.right()
 
     override fun submit(item: WorkItem): Either<Fault, Unit> {
-        val known = book.jobs[item.jobId]
+        val known = registry.jobs[item.jobId]
         if (known?.shapeQueue != null) return Unit.right()
-        checker.impossible(item)?.let { return it.left() }
-        if (known == null) checker.passed(item)?.let { return it.left() }
-        val job = known ?: book.jobOf(item)
+        checker.checkFeasibility(item)?.let { return it.left() }
+        if (known == null) checker.checkDeadline(item)?.let { return it.left() }
+        val job = known ?: registry.jobOf(item)
         item.pendingParts.filterTo(job.pending) { it !in job.running }
-        book.enqueue(job)
-        book.forgetIfDone(job)
+        registry.enqueue(job)
+        registry.removeIfDone(job)
         return Unit.right()
     }
 
     override fun cancel(jobId: String) {
-        val job = book.jobs[jobId] ?: return
-        reservations.dropAll(job)
-        book.dequeue(job)
+        val job = registry.jobs[jobId] ?: return
+        reservations.removeAllOf(job)
+        registry.dequeue(job)
         job.pending.clear()
-        book.forgetIfDone(job)
+        registry.removeIfDone(job)
     }
 
     override fun adopt(item: WorkItem, part: Int, workerId: String) {
-        val job = book.jobOf(item)
+        val job = registry.jobOf(item)
         if (part in job.running) return
-        book.dequeue(job)
+        registry.dequeue(job)
         job.pending.remove(part)
         job.started = true
-        book.start(job, part, workers.roomOf(workerId))
-        book.enqueue(job)
+        registry.start(job, part, workers.findOrCreate(workerId))
+        registry.enqueue(job)
         reservations.trim(job)
     }
 
     override fun partEnded(jobId: String, part: Int, workerId: String, requeue: Boolean) {
-        val job = book.jobs[jobId] ?: return
+        val job = registry.jobs[jobId] ?: return
         val running = job.running[part] ?: return
         if (running.worker.workerId != workerId) return
-        preemptions.ended(running)
-        book.release(running)
-        queue.limitFreed(job.kindQueue.plan)
-        reservations.headroomFreed(job.kindQueue.plan)
+        preemptions.onPartEnded(running)
+        registry.release(running)
+        queue.retryAtLimit(job.kindQueue.plan)
+        reservations.retryAtLimit(job.kindQueue.plan)
         if (requeue) {
-            book.dequeue(job)
+            registry.dequeue(job)
             job.pending.add(part)
-            book.enqueue(job)
+            registry.enqueue(job)
         }
-        book.forgetIfDone(job)
+        registry.removeIfDone(job)
     }
 
     override fun reportUsage(jobId: String, part: Int, workerId: String, used: Resources) {
-        val running = book.jobs[jobId]?.running?.get(part) ?: return
+        val running = registry.jobs[jobId]?.running?.get(part) ?: return
         if (estimateUsage && running.worker.workerId == workerId) usage.report(running, used)
     }
 
     override fun decide(limit: Int): Decisions {
         val refusals = ArrayList<Refusal>()
-        checker.refuseEnded(refusals)
-        book.shares.refresh()
-        preemptions.repeatLost()
-        review.run()
+        checker.refuseInfeasible(refusals)
+        registry.shares.refresh()
+        preemptions.retryUnanswered()
+        blockedWork.run()
         val placements = round.placeUpTo(limit)
-        return Decisions(placements, preemptions.drainOrders(), refusals)
+        return Decisions(placements, preemptions.drainPreemptions(), refusals)
     }
 
-    override fun waitReason(jobId: String): String? = book.jobs[jobId]?.let { WaitReason.of(it) }
+    override fun waitReason(jobId: String): String? = registry.jobs[jobId]?.let { WaitReason.of(it) }
 }
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/PlanAccount.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/PlanState.kt
@@ -5,7 +5,7 @@
 import dev.bronzeshore.core.WorkKind
 
 /** [limit] is null while no allowance is known for the plan. */
-internal class PlanAccount(val name: String) {
+internal class PlanState(val name: String) {
     var limit: Resources? = null
     var weight: Int = 1
 
@@ -26,7 +26,7 @@
     val reservations: LinkedHashSet<Reservation> = LinkedHashSet()
 
     /** Largest part of the data centre in use in any dimension, in millionths. */
-    var dominantMicros: Long = 0
+    var dominantShareMicros: Long = 0
 
     /** Gang of this plan that has a reservation; a plan has one at a time. */
     var reservedGang: JobEntry? = null
@@ -46,10 +46,10 @@
     fun isActive(): Boolean = kinds.values.any { it.isActive }
 
     /** True if the limit allows [size] more. */
-    fun mayAdd(size: Resources): Boolean = limit?.let { (used + size).fitsIn(it) } ?: false
+    fun allows(size: Resources): Boolean = limit?.let { (used + size).fitsIn(it) } ?: false
 
     /** True if the limit allows [size] more next to what reservations keep, of which [own] is kept for the asker. */
-    fun mayAddBeside(size: Resources, own: Resources): Boolean =
+    fun allowsBesideReserved(size: Resources, own: Resources): Boolean =
         limit?.let { (used + reserved - own + size).fitsIn(it) } ?: false
 
     /** What the limit leaves next to what reservations keep. */
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/DisturbanceBudget.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/PreemptionBudget.kt
@@ -2,7 +2,7 @@
 package dev.bronzeshore.placement
 
 /** Remembers the disturbances of each part; at most [MAX_PER_HOUR] are allowed in any hour. */
-internal class DisturbanceBudget {
+internal class PreemptionBudget {
     private val byPart: HashMap<Int, ArrayDeque<Long>> = HashMap()
 
     fun allows(part: Int, nowMs: Long): Boolean {
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/PreemptionPlanner.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/PreemptionPlanner.kt
@@ -11,42 +11,42 @@
 /** [isIdempotent] says whether a job's parts may be stopped without a checkpoint if a checkpoint does not come. */
 internal class PreemptionPlanner(
     private val clock: ClockMs,
-    private val shares: ShareAccounts,
+    private val shares: FairShareTracker,
     private val isIdempotent: (jobId: String) -> Boolean,
 ) {
     private val stopping: LinkedHashSet<RunningPart> = LinkedHashSet()
-    private val orders: ArrayList<Preemption> = ArrayList()
+    private val preemptions: ArrayList<Preemption> = ArrayList()
 
     /**
      * Returns the parts on [room] that have to leave so that [size] fits, or null if that is not possible.
      *
      * [available] is the room that [size] may use already, including that of parts which are leaving.
      */
-    fun choose(
-        room: WorkerRoom,
+    fun chooseVictims(
+        worker: WorkerState,
         size: Resources,
         available: Resources,
-        mayLeave: (RunningPart) -> Boolean,
+        rule: (RunningPart) -> Boolean,
     ): List<RunningPart>? {
         if (size.fitsIn(available)) return emptyList()
         val chosen = ArrayList<RunningPart>()
-        var reached = available
-        for (part in room.parts.filter { mayDisturb(it) && mayLeave(it) }.sortedWith(LEAST_LOSS_FIRST)) {
+        var freeAfter = available
+        for (part in worker.parts.filter { mayPreempt(it) && rule(it) }.sortedWith(PREEMPTION_ORDER)) {
             chosen.add(part)
-            reached += part.charge
-            if (size.fitsIn(reached)) return withoutSuperfluous(chosen, size, reached)
+            freeAfter += part.allocation
+            if (size.fitsIn(freeAfter)) return withoutUnneeded(chosen, size, freeAfter)
         }
         return null
     }
 
     /** Returns parts of [plan] that have to leave so that its limit allows [size] more, or null if none help. */
-    fun chooseOfPlan(plan: PlanAccount, size: Resources, mayLeave: (RunningPart) -> Boolean): List<RunningPart>? {
+    fun chooseVictimsOfPlan(plan: PlanState, size: Resources, rule: (RunningPart) -> Boolean): List<RunningPart>? {
         val limit = plan.limit ?: return null
         var used = plan.used - plan.stopping + size
         if (used.fitsIn(limit)) return emptyList()
         val chosen = ArrayList<RunningPart>()
-        val newest = plan.kinds.values.flatMap { it.running.toList().takeLast(MAX_OF_KIND) }
-        for (part in newest.filter { mayDisturb(it) && mayLeave(it) }.sortedWith(LEAST_LOSS_FIRST)) {
+        val newest = plan.kinds.values.flatMap { it.running.toList().takeLast(MAX_VICTIM_CANDIDATES_PER_KIND) }
+        for (part in newest.filter { mayPreempt(it) && rule(it) }.sortedWith(PREEMPTION_ORDER)) {
             chosen.add(part)
             used -= part.job.item.size
             if (used.fitsIn(limit)) return chosen
@@ -55,100 +55,102 @@
     }
 
     /** Rule for urgent and pressing work: less urgent parts leave, but no part of a kind that is below its share. */
-    fun forPressing(claimant: JobEntry): (RunningPart) -> Boolean {
+    fun timeCriticalRule(claimant: JobEntry): (RunningPart) -> Boolean {
         val nowMs = clock()
-        val entitled = shares.isEntitledToUrgent(claimant.kindQueue, claimant.item.size)
+        val entitled = shares.isUrgentWithinShare(claimant.kindQueue, claimant.item.size)
         return { victim ->
-            !victim.job.isPressing(nowMs) && (entitled || !victim.job.kindQueue.isUnderShare) && hasTimeToReturn(victim)
+            !victim.job.isTimeCritical(nowMs) &&
+                (entitled || !victim.job.kindQueue.isBelowShare) &&
+                canRestartInTime(victim)
         }
     }
 
     /** Rule for a reservation whose time has come: backfill leaves, and so does batch work that is not more urgent. */
-    fun forGang(claimant: JobEntry): (RunningPart) -> Boolean = { victim ->
+    fun gangRule(claimant: JobEntry): (RunningPart) -> Boolean = { victim ->
         victim.job.item.kind.policy == Policy.BATCH &&
             (victim.mustEndByMs != null || victim.job.item.urgency >= claimant.item.urgency)
     }
 
     /** Rule for a kind below its share: batch work that runs on a lent share leaves. */
-    fun forShare(claimant: JobEntry): (RunningPart) -> Boolean = { victim ->
+    fun shareRule(claimant: JobEntry): (RunningPart) -> Boolean = { victim ->
         victim.job.kindQueue !== claimant.kindQueue &&
             victim.job.item.kind.policy == Policy.BATCH &&
-            (victim.mustEndByMs != null || shares.isLent(victim))
+            (victim.mustEndByMs != null || shares.usesBorrowedShare(victim))
     }
 
     /** Tells [victims] to leave. */
-    fun order(victims: List<RunningPart>) {
+    fun preempt(victims: List<RunningPart>) {
         val nowMs = clock()
         for (victim in victims) {
             if (victim.isStopping) continue
             victim.job.budget.record(victim.part, nowMs)
-            victim.worker.stopping += victim.charge
+            victim.worker.stopping += victim.allocation
             victim.job.kindQueue.plan.stopping += victim.job.item.size
-            emit(victim, nowMs, TaskAction.CHECKPOINT)
+            requestPreemption(victim, nowMs, TaskAction.CHECKPOINT)
         }
     }
 
     /** Repeats orders that had no effect, because an order or its report may have been lost. */
-    fun repeatLost() {
+    fun retryUnanswered() {
         val nowMs = clock()
         while (stopping.isNotEmpty()) {
             val oldest = stopping.first()
-            if ((oldest.stopOrderedAtMs ?: 0) + REPEAT_AFTER_MS > nowMs) return
+            if ((oldest.preemptedAtMs ?: 0) + RETRY_AFTER_MS > nowMs) return
             val action = if (isIdempotent(oldest.job.item.jobId)) TaskAction.STOP else TaskAction.CHECKPOINT
-            emit(oldest, nowMs, action)
+            requestPreemption(oldest, nowMs, action)
         }
     }
 
-    fun ended(running: RunningPart) {
+    fun onPartEnded(running: RunningPart) {
         if (stopping.remove(running)) running.job.kindQueue.plan.stopping -= running.job.item.size
     }
 
-    fun drainOrders(): List<Preemption> {
-        if (orders.isEmpty()) return emptyList()
-        val drained = orders.toList()
-        orders.clear()
+    fun drainPreemptions(): List<Preemption> {
+        if (preemptions.isEmpty()) return emptyList()
+        val drained = preemptions.toList()
+        preemptions.clear()
         return drained
     }
 
     /** Workers where [kinds] have their newest parts. */
-    fun roomsOfNewest(kinds: Collection<KindQueue>): List<WorkerRoom> = kinds
-        .flatMap { it.running.toList().takeLast(MAX_NEWEST) }
+    fun workersOfNewestParts(kinds: Collection<KindQueue>): List<WorkerState> = kinds
+        .flatMap { it.running.toList().takeLast(MAX_NEWEST_PER_KIND) }
         .map { it.worker }
         .distinct()
 
     /** Room on [room] that no reservation keeps, once all parts that are leaving have left. */
-    fun availableOn(room: WorkerRoom): Resources = room.free + room.stopping
+    fun availableOn(worker: WorkerState): Resources = worker.free + worker.stopping
 
-    private fun emit(victim: RunningPart, nowMs: Long, action: TaskAction) {
-        victim.stopOrderedAtMs = nowMs
+    private fun requestPreemption(victim: RunningPart, nowMs: Long, action: TaskAction) {
+        victim.preemptedAtMs = nowMs
         stopping.remove(victim)
         stopping.add(victim)
-        orders.add(Preemption(victim.job.item.jobId, victim.part, victim.worker.workerId, action))
+        preemptions.add(Preemption(victim.job.item.jobId, victim.part, victim.worker.workerId, action))
     }
 
     /** A part placed in this very round is left alone: its start was not sent yet. */
-    private fun mayDisturb(part: RunningPart): Boolean {
+    private fun mayPreempt(part: RunningPart): Boolean {
         val nowMs = clock()
-        val isLeft = part.isStopping || part.startedAtMs >= nowMs
-        return part.isDisturbable && !isLeft && part.job.budget.allows(part.part, nowMs)
+        val isExempt = part.isStopping || part.startedAtMs >= nowMs
+        return part.isPreemptible && !isExempt && part.job.budget.allows(part.part, nowMs)
     }
 
     /** Important work leaves only if it can start again well before its latest start. */
-    private fun hasTimeToReturn(part: RunningPart): Boolean {
+    private fun canRestartInTime(part: RunningPart): Boolean {
         val startBeforeMs = part.job.item.startBeforeMs
         if (!part.job.isImportant || startBeforeMs == null) return true
-        return clock() + part.job.item.declaredRunMs + JobEntry.PRESSING_BEFORE_MS < startBeforeMs
+        return clock() + part.job.item.declaredRunMs + JobEntry.TIME_CRITICAL_BEFORE_MS < startBeforeMs
     }
 
-    private fun withoutSuperfluous(
+    private fun withoutUnneeded(
         chosen: MutableList<RunningPart>,
         size: Resources,
-        all: Resources,
+        total: Resources,
     ): List<RunningPart> {
-        var reached = all
+        var freeAfter = total
         for (part in chosen.toList()) {
-            if (!size.fitsIn(reached - part.charge)) continue
-            reached -= part.charge
+            if (!size.fitsIn(freeAfter - part.allocation)) continue
+            freeAfter -= part.allocation
             chosen.remove(part)
         }
         return chosen
@@ -156,15 +158,15 @@
 
     internal companion object {
         /** A checkpoint takes about 2 s; a second one after 3 s still meets the 7.7 s limit for urgent work. */
-        private const val REPEAT_AFTER_MS = 3_000L
+        private const val RETRY_AFTER_MS = 3_000L
 
-        private const val MAX_NEWEST = 8
+        private const val MAX_NEWEST_PER_KIND = 8
 
         /** Parts of one kind examined when a plan is at its limit. */
-        private const val MAX_OF_KIND = 64
+        private const val MAX_VICTIM_CANDIDATES_PER_KIND = 64
 
         /** Backfill first, important work last, then the least urgent, then what has run for the shortest time. */
-        private val LEAST_LOSS_FIRST: Comparator<RunningPart> =
+        private val PREEMPTION_ORDER: Comparator<RunningPart> =
             compareBy<RunningPart> { it.mustEndByMs == null }
                 .thenBy { it.job.isImportant }
                 .thenByDescending { it.job.item.urgency }
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/Reservation.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/Reservation.kt
@@ -4,7 +4,7 @@
 import dev.bronzeshore.core.Resources
 
 /** Why room is kept. */
-internal enum class Purpose { URGENT, GANG, SHARE }
+internal enum class ReservationPurpose { URGENT, GANG, SHARE }
 
 /**
  * Room kept for parts of one job: for all parts of a gang, otherwise for one part.
@@ -14,15 +14,15 @@
  */
 internal class Reservation(
     val job: JobEntry,
-    val purpose: Purpose,
+    val purpose: ReservationPurpose,
     val startAtMs: Long,
     val sequence: Long,
     var nextCheckMs: Long,
 ) {
-    val holds: ArrayList<Hold> = ArrayList()
+    val workerReservations: ArrayList<WorkerReservation> = ArrayList()
 }
 
 /** Room kept for [parts] parts on one worker. */
-internal class Hold(val reservation: Reservation, val room: WorkerRoom, val parts: Int) {
+internal class WorkerReservation(val reservation: Reservation, val worker: WorkerState, val parts: Int) {
     val size: Resources = reservation.job.item.size * parts
 }
--- /dev/null
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/ReservationRegistry.kt
@@ -0,0 +1,103 @@
+/** All reservations with the room that they keep. */
+package dev.bronzeshore.placement
+
+import dev.bronzeshore.core.Resources
+import java.util.TreeSet
+
+internal class ReservationRegistry(private val workers: WorkerRegistry, private val queue: WorkQueue) {
+    private val byCheck: TreeSet<Reservation> =
+        TreeSet(compareBy<Reservation> { it.nextCheckMs }.thenBy { it.sequence })
+    private var nextSequence = 0L
+
+    /** Opens a reservation without any room; see [keep]. */
+    fun create(
+        job: JobEntry,
+        purpose: ReservationPurpose,
+        startAtMs: Long,
+        nextCheckMs: Long = startAtMs,
+    ): Reservation {
+        val reservation = Reservation(job, purpose, startAtMs, nextSequence++, nextCheckMs)
+        byCheck.add(reservation)
+        job.reservations.add(reservation)
+        job.kindQueue.plan.reservations.add(reservation)
+        if (job.isGang) job.kindQueue.plan.reservedGang = job
+        if (purpose == ReservationPurpose.SHARE) job.kindQueue.shareReservations++
+        if (purpose == ReservationPurpose.URGENT) job.kindQueue.timeCriticalReservations++
+        return reservation
+    }
+
+    fun reserve(reservation: Reservation, worker: WorkerState, parts: Int) {
+        val workerReservation = WorkerReservation(reservation, worker, parts)
+        reservation.workerReservations.add(workerReservation)
+        reservation.job.kindQueue.reserved += workerReservation.size
+        reservation.job.kindQueue.plan.reserved += workerReservation.size
+        worker.reservations.add(workerReservation)
+        worker.reserved += workerReservation.size
+        workers.refresh(worker)
+    }
+
+    fun remove(reservation: Reservation) {
+        if (!byCheck.remove(reservation)) return
+        val job = reservation.job
+        job.reservations.remove(reservation)
+        job.kindQueue.plan.reservations.remove(reservation)
+        if (job.kindQueue.plan.reservedGang === job) job.kindQueue.plan.reservedGang = null
+        if (reservation.purpose == ReservationPurpose.SHARE) job.kindQueue.shareReservations--
+        if (reservation.purpose == ReservationPurpose.URGENT) job.kindQueue.timeCriticalReservations--
+        for (workerReservation in reservation.workerReservations) {
+            job.kindQueue.reserved -= workerReservation.size
+            job.kindQueue.plan.reserved -= workerReservation.size
+            workerReservation.worker.reservations.remove(workerReservation)
+            workerReservation.worker.reserved -= workerReservation.size
+            workers.refresh(workerReservation.worker)
+        }
+        queue.retryAtLimit(job.kindQueue.plan)
+    }
+
+    /** Reservations whose next check has come. */
+    fun due(nowMs: Long): List<Reservation> {
+        if (byCheck.isEmpty() || byCheck.first().nextCheckMs > nowMs) return emptyList()
+        return byCheck.takeWhile { it.nextCheckMs <= nowMs }
+    }
+
+    fun rescheduleCheck(reservation: Reservation, atMs: Long) {
+        if (!byCheck.remove(reservation)) return
+        reservation.nextCheckMs = atMs
+        byCheck.add(reservation)
+    }
+
+    /** After [plan] uses less: lets reservations that waited for its limit be served. */
+    fun retryAtLimit(plan: PlanState) {
+        for (reservation in plan.reservations) {
+            if (!isCapacityFree(reservation) || !plan.allows(reservation.job.item.size)) continue
+            reservation.workerReservations.firstOrNull()?.let { workers.freedWorkers.add(it.worker) }
+        }
+    }
+
+    /** Drops all reservations that keep room on [room], after the worker stopped accepting work. */
+    fun removeAllOn(worker: WorkerState): Unit =
+        worker.reservations.map { it.reservation }.distinct().forEach { remove(it) }
+
+    fun removeAllOf(job: JobEntry): Unit = job.reservations.toList().forEach { remove(it) }
+
+    /** Drops reservations beyond what the pending parts of [job] still need, youngest first. */
+    fun trim(job: JobEntry) {
+        if (job.isGang && job.pending.isNotEmpty()) return
+        while (job.reservations.size > job.pending.size) remove(job.reservations.last())
+    }
+
+    /** True if all the kept room is free now, not counting room that older reservations wait for. */
+    fun isCapacityFree(reservation: Reservation): Boolean = reservation.workerReservations.all { workerReservation ->
+        workerReservation.worker.accepting && workerReservation.size.fitsIn(availableTo(workerReservation))
+    }
+
+    /** Room on the worker of [hold] that is free and not kept by older holds. */
+    fun availableTo(workerReservation: WorkerReservation): Resources {
+        var available = workerReservation.worker.unallocated
+        for (other in workerReservation.worker.reservations) {
+            if (other === workerReservation) break
+            available -= other.size
+        }
+        return available
+    }
+}
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/RoundPlanner.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/RoundPlanner.kt
@@ -7,67 +7,76 @@
 
 internal class RoundPlanner(
     private val clock: ClockMs,
-    private val workers: WorkerTable,
+    private val workers: WorkerRegistry,
     private val queue: WorkQueue,
     private val starter: PartStarter,
-    private val reservations: ReservationBook,
+    private val reservations: ReservationRegistry,
     private val planner: ReservationPlanner,
-    private val backfill: Backfill,
+    private val backfill: BackfillPlanner,
 ) {
     /** Queues found to fit a worker but not under their plan's limit; see [mayStart]. */
     private val overLimit: ArrayList<ShapeQueue> = ArrayList()
 
     /** Decides at most [limit] placements, except that a gang larger than [limit] starts alone in a round. */
     fun placeUpTo(limit: Int): List<Placement> {
-        starter.begin(limit)
+        starter.beginRound(limit)
         var passes = 0
         do {
-            fillFreedRooms()
-            fillFreedLimits()
+            fillFreedWorkers()
+            retryFreedPlans()
             serveReady()
-            val mayGoOn = !starter.isFull && (workers.freed.isNotEmpty() || queue.freedPlans.isNotEmpty())
+            val mayGoOn = !starter.isFull && (workers.freedWorkers.isNotEmpty() || queue.freedPlans.isNotEmpty())
         } while (mayGoOn && ++passes < MAX_PASSES)
         return starter.placements.toList()
     }
 
     /** Serves [reservation] in the coming round as if its room had just been freed. */
-    fun serveLater(reservation: Reservation): Unit = reservation.holds.forEach { workers.freed.add(it.room) }
+    fun markForServing(reservation: Reservation): Unit =
+        reservation.workerReservations.forEach { workers.freedWorkers.add(it.worker) }
 
     /** Places the job of [reservation] if its room is free and the round has space for it. */
     private fun serve(reservation: Reservation) {
         val job = reservation.job
         val parts = if (job.isGang) job.pending.size else 1
-        val mayStart = reservations.isFree(reservation) &&
-            starter.hasSpaceFor(parts) &&
-            job.kindQueue.plan.mayAdd(job.item.size * parts)
+        val mayStart = reservations.isCapacityFree(reservation) &&
+            starter.fitsInRound(parts) &&
+            job.kindQueue.plan.allows(job.item.size * parts)
         if (!mayStart) return
-        val rooms = reservation.holds.flatMap { hold -> List(hold.parts) { hold.room } }
-        reservations.drop(reservation)
-        starter.start(job, job.pending.take(parts).zip(rooms, ::Assignment))
+        val assigned = reservation.workerReservations.flatMap { workerReservation ->
+            List(workerReservation.parts) { workerReservation.worker }
+        }
+        reservations.remove(reservation)
+        starter.start(job, job.pending.take(parts).zip(assigned, ::Assignment))
     }
 
     /** Gives freed room first to the work it was kept for, then to what waits for room, in order. */
-    private fun fillFreedRooms() {
-        while (workers.freed.isNotEmpty() && !starter.isFull) {
-            val room = workers.freed.first()
-            room.holds.map { it.reservation }.forEach { serve(it) }
-            workers.freed.remove(room)
+    private fun fillFreedWorkers() {
+        while (workers.freedWorkers.isNotEmpty() && !starter.isFull) {
+            val worker = workers.freedWorkers.first()
+            worker.reservations.map { it.reservation }.forEach { serve(it) }
+            workers.freedWorkers.remove(worker)
             while (!starter.isFull) {
-                val next = firstFor(room) ?: break
-                if (!starter.hasSpaceFor(next.shape.gangParts)) return
-                if (next.state == QueueState.READY || next.shape.gangParts > 0) tryPlace(next) else fill(room, next)
+                val next = firstFor(worker) ?: break
+                if (!starter.fitsInRound(next.shape.gangParts)) return
+                if (next.state == QueueState.READY ||
+                    next.shape.gangParts > 0
+                ) {
+                    tryPlace(next)
+                } else {
+                    startOn(worker, next)
+                }
             }
-            backfill.fill(room)
+            backfill.fill(worker)
         }
     }
 
     /** Returns the first queue in order that could start on [room]: waiting ones fit nowhere else. */
-    private fun firstFor(room: WorkerRoom): ShapeQueue? {
+    private fun firstFor(worker: WorkerState): ShapeQueue? {
         val nowMs = clock()
-        val free = room.free
+        val free = worker.free
         var first: ShapeQueue? = null
-        for (kind in queue.waitingKinds) {
-            val fitting = kind.waiting.firstFitting(free, QueueState.WAITS_FOR_ROOM) { mayStart(it) } ?: continue
+        for (kind in queue.blockedKinds) {
+            val fitting = kind.blocked.firstFitting(free, QueueState.WAITS_FOR_ROOM) { mayStart(it) } ?: continue
             first = KindOrder.first(first, fitting, nowMs)
         }
         for (kind in queue.readyKinds) first = KindOrder.first(first, kind.ready.first(), nowMs)
@@ -79,37 +88,37 @@
     }
 
     /** A queue whose room is there but whose plan is at its limit has to wait for the limit from now on. */
-    private fun mayStart(waiting: ShapeQueue): Boolean {
-        val gangParts = waiting.shape.gangParts
-        if (gangParts > 0 && !workers.fitTogether(waiting.shape.size, gangParts)) return false
-        if (waiting.kindQueue.plan.mayAddBeside(waiting.wanted, ownReserved(waiting))) return true
-        overLimit.add(waiting)
+    private fun mayStart(blocked: ShapeQueue): Boolean {
+        val gangParts = blocked.shape.gangParts
+        if (gangParts > 0 && !workers.fitTogether(blocked.shape.size, gangParts)) return false
+        if (blocked.kindQueue.plan.allowsBesideReserved(blocked.demand, ownReserved(blocked))) return true
+        overLimit.add(blocked)
         return false
     }
 
-    private fun fill(room: WorkerRoom, next: ShapeQueue) {
+    private fun startOn(worker: WorkerState, next: ShapeQueue) {
         val job = next.jobs.first()
-        starter.start(job, listOf(Assignment(job.pending.first(), room)))
+        starter.start(job, listOf(Assignment(job.pending.first(), worker)))
         reservations.trim(job)
     }
 
     /** Looks again at what waits for the limit of plans that use less now. */
-    private fun fillFreedLimits() {
+    private fun retryFreedPlans() {
         while (queue.freedPlans.isNotEmpty() && !starter.isFull) {
             val plan = queue.freedPlans.first()
             val next = firstFor(plan)
-            if (next != null && !starter.hasSpaceFor(next.shape.gangParts)) return
+            if (next != null && !starter.fitsInRound(next.shape.gangParts)) return
             if (next == null) queue.freedPlans.remove(plan) else tryPlace(next)
         }
     }
 
-    private fun firstFor(plan: PlanAccount): ShapeQueue? {
+    private fun firstFor(plan: PlanState): ShapeQueue? {
         val nowMs = clock()
         val headroom = plan.headroom()
         var first: ShapeQueue? = null
         for (kind in plan.kinds.values) {
-            val fitting = kind.waiting.firstFitting(headroom, QueueState.WAITS_FOR_LIMIT) {
-                it.wanted.fitsIn(headroom)
+            val fitting = kind.blocked.firstFitting(headroom, QueueState.WAITS_FOR_LIMIT) {
+                it.demand.fitsIn(headroom)
             } ?: continue
             first = KindOrder.first(first, fitting, nowMs)
         }
@@ -121,36 +130,46 @@
         while (!starter.isFull) {
             var next: ShapeQueue? = null
             for (kind in queue.readyKinds) next = KindOrder.first(next, kind.ready.first(), nowMs)
-            if (next == null || !starter.hasSpaceFor(next.shape.gangParts)) return
+            if (next == null || !starter.fitsInRound(next.shape.gangParts)) return
             tryPlace(next)
         }
     }
 
     private fun ownReserved(queue: ShapeQueue): Resources =
-        if (queue.jobs.first().reservations.isEmpty()) Resources.NONE else queue.wanted
+        if (queue.jobs.first().reservations.isEmpty()) Resources.NONE else queue.demand
 
     private fun tryPlace(next: ShapeQueue) {
         val job = next.jobs.first()
-        val isAllowed = next.kindQueue.plan.mayAddBeside(next.wanted, ownReserved(next))
-        if (!isAllowed) return wait(next, QueueState.WAITS_FOR_LIMIT)
+        val isAllowed = next.kindQueue.plan.allowsBesideReserved(next.demand, ownReserved(next))
+        if (!isAllowed) return blockQueue(next, QueueState.WAITS_FOR_LIMIT)
         if (job.isGang) {
-            if (!workers.fitTogether(job.item.size, job.pending.size)) return wait(next, QueueState.WAITS_FOR_ROOM)
-            reservations.dropAll(job)
+            if (!workers.fitTogether(
+                    job.item.size,
+                    job.pending.size,
+                )
+            ) {
+                return blockQueue(next, QueueState.WAITS_FOR_ROOM)
+            }
+            reservations.removeAllOf(job)
             starter.start(job, job.pending.map { Assignment(it, null) })
         } else {
             val part = job.pending.first()
-            val room = starter.bestRoom(job)
-            if (room == null && !backfill.startAnywhere(next)) return wait(next, QueueState.WAITS_FOR_ROOM)
-            if (room != null) starter.start(job, listOf(Assignment(part, room)))
+            val worker = starter.bestWorker(job)
+            if (worker == null &&
+                !backfill.startOnReservedWorker(next)
+            ) {
+                return blockQueue(next, QueueState.WAITS_FOR_ROOM)
+            }
+            if (worker != null) starter.start(job, listOf(Assignment(part, worker)))
             reservations.trim(job)
         }
     }
 
-    private fun wait(next: ShapeQueue, state: QueueState) {
+    private fun blockQueue(next: ShapeQueue, state: QueueState) {
         val nowMs = clock()
         val head = next.jobs.first()
-        if (head.isPressing(nowMs)) {
-            reserveForAll(next)
+        if (head.isTimeCritical(nowMs)) {
+            reserveForTimeCritical(next)
         } else if (head.isGang) {
             planner.reserveGang(head)
         }
@@ -158,12 +177,12 @@
     }
 
     /** Keeps room for each of the first pressing parts, so that a burst of them does not start one by one. */
-    fun reserveForAll(next: ShapeQueue) {
+    fun reserveForTimeCritical(next: ShapeQueue) {
         var left = MAX_NEW_RESERVATIONS
         for (job in next.jobs.take(MAX_RESERVED_JOBS)) {
             val wanted = if (job.isGang) 1 else job.pending.size
             while (left > 0 && job.reservations.size < wanted) {
-                if (!planner.reservePressing(job)) return
+                if (!planner.reserveTimeCritical(job)) return
                 left--
             }
         }
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/RunningPart.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/RunningPart.kt
@@ -8,33 +8,33 @@
 internal class RunningPart(
     val job: JobEntry,
     val part: Int,
-    val worker: WorkerRoom,
+    val worker: WorkerState,
     val startedAtMs: Long,
-    var charge: Resources,
+    var allocation: Resources,
 ) {
     /** Highest use reported so far. */
-    var seenPeak: Resources = Resources.NONE
+    var peakUsage: Resources = Resources.NONE
 
     /** Most recent use reported. */
-    var seenLast: Resources = Resources.NONE
+    var lastUsage: Resources = Resources.NONE
 
     var reportCount: Int = 0
 
     /** True if the part may be asked to leave at all. */
-    var isDisturbable: Boolean = false
+    var isPreemptible: Boolean = false
 
     /** True if urgent work may ask the part to leave; its room then counts as reclaimable. */
-    val yields: Boolean
-        get() = isDisturbable && job.item.urgency != Urgency.URGENT
+    val isPreemptibleForUrgent: Boolean
+        get() = isPreemptible && job.item.urgency != Urgency.URGENT
 
     /** When the part was last told to leave, or null. */
-    var stopOrderedAtMs: Long? = null
+    var preemptedAtMs: Long? = null
 
     /** Deadline of a part that runs in reserved room; it has to leave then. */
     var mustEndByMs: Long? = null
 
     val isStopping: Boolean
-        get() = stopOrderedAtMs != null
+        get() = preemptedAtMs != null
 
     /** Expected end by the declaration; the declared run time is often far off. */
     val expectedEndMs: Long
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/ShapeQueue.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/ShapeQueue.kt
@@ -22,27 +22,29 @@
     var shortestRunMs: Long = Long.MAX_VALUE
 
     /** Room that has to be free at once: all parts of a gang, or one part. */
-    val wanted: Resources = if (shape.gangParts > 0) shape.size * shape.gangParts else shape.size
+    val demand: Resources = if (shape.gangParts > 0) shape.size * shape.gangParts else shape.size
 
     val rank: Int = if (kindQueue.kind.policy == Policy.IMPORTANT) 0 else shape.urgency.ordinal
 
     override fun compareTo(other: ShapeQueue): Int {
         val byRank = rank.compareTo(other.rank)
         if (byRank != 0) return byRank
-        val bySize = if (isPacked && other.isPacked) compareForPacking(other) else 0
+        val bySize = if (isOrderedBySize && other.isOrderedBySize) compareByAgeAndSize(other) else 0
         return if (bySize != 0) bySize else jobs.first().compareTo(other.jobs.first())
     }
 
-    private val isPacked: Boolean
+    private val isOrderedBySize: Boolean
         get() = kindQueue.kind.policy == Policy.BATCH && shape.urgency == Urgency.PATIENT
 
-    private fun compareForPacking(other: ShapeQueue): Int {
-        val byAge = (jobs.first().orderMs / PACK_WINDOW_MS).compareTo(other.jobs.first().orderMs / PACK_WINDOW_MS)
+    private fun compareByAgeAndSize(other: ShapeQueue): Int {
+        val byAge = (jobs.first().orderMs / SIZE_ORDER_WINDOW_MS).compareTo(
+            other.jobs.first().orderMs / SIZE_ORDER_WINDOW_MS,
+        )
         return if (byAge != 0) byAge else other.sizeClass.compareTo(sizeClass)
     }
 
     private companion object {
         /** Small patient jobs wait behind large ones of the same window only, so none is passed for ever. */
-        const val PACK_WINDOW_MS = 60_000L
+        const val SIZE_ORDER_WINDOW_MS = 60_000L
     }
 }
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/StartDeadlines.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/StartDeadlines.kt
@@ -16,7 +16,7 @@
     }
 
     /** Removes and returns a job whose latest start is before [nowMs], or null. */
-    fun pollPassed(nowMs: Long): JobEntry? {
+    fun pollExpired(nowMs: Long): JobEntry? {
         val first = if (byTime.isEmpty()) return null else byTime.first()
         return if ((first.item.startBeforeMs ?: Long.MAX_VALUE) < nowMs) byTime.pollFirst() else null
     }
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/UsageEstimator.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/UsageEstimator.kt
@@ -19,24 +19,24 @@
     private const val MARGIN_DIVISOR = 4
     private const val MARGIN_MILLICORES = 100L
 
-    fun chargeOf(running: RunningPart): Resources {
+    fun allocationFor(running: RunningPart): Resources {
         val declared = running.job.item.size
-        val peak = running.seenPeak
+        val peak = running.peakUsage
         val bound = maxOf(declared.processorsMillicores, peak.processorsMillicores)
-        val learned = !running.job.isGang &&
+        val isEstimated = !running.job.isGang &&
             running.job.item.kind.policy == Policy.BATCH &&
             running.reportCount >= MIN_REPORTS
         val withMargin = peak.processorsMillicores + peak.processorsMillicores / MARGIN_DIVISOR + MARGIN_MILLICORES
         return Resources(
-            if (learned) minOf(bound, withMargin) else bound,
+            if (isEstimated) minOf(bound, withMargin) else bound,
             maxOf(declared.memoryBytes, peak.memoryBytes),
             declared.accelerators,
         )
     }
 
-    fun peakOf(seen: Resources, used: Resources): Resources = Resources(
-        maxOf(seen.processorsMillicores, used.processorsMillicores),
-        maxOf(seen.memoryBytes, used.memoryBytes),
-        maxOf(seen.accelerators, used.accelerators),
+    fun peakOf(peak: Resources, used: Resources): Resources = Resources(
+        maxOf(peak.processorsMillicores, used.processorsMillicores),
+        maxOf(peak.memoryBytes, used.memoryBytes),
+        maxOf(peak.accelerators, used.accelerators),
     )
 }
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/UsageTracker.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/UsageTracker.kt
@@ -3,37 +3,39 @@
 
 import dev.bronzeshore.core.Resources
 
-internal class UsageTracker(private val workers: WorkerTable, private val preemptions: PreemptionPlanner) {
+internal class UsageTracker(private val workers: WorkerRegistry, private val preemptions: PreemptionPlanner) {
     fun report(running: RunningPart, used: Resources) {
-        val room = running.worker
-        room.seen += used - running.seenLast
-        running.seenLast = used
-        running.seenPeak = UsageEstimator.peakOf(running.seenPeak, used)
+        val worker = running.worker
+        worker.reportedUsage += used - running.lastUsage
+        running.lastUsage = used
+        running.peakUsage = UsageEstimator.peakOf(running.peakUsage, used)
         running.reportCount++
-        val charge = UsageEstimator.chargeOf(running)
-        if (charge != running.charge) workers.recharge(running, charge)
-        relieve(room)
+        val allocation = UsageEstimator.allocationFor(running)
+        if (allocation != running.allocation) workers.updateAllocation(running, allocation)
+        preemptIfOverloaded(worker)
     }
 
     /** Tells the least urgent parts of an overcharged worker to leave when the seen use is near its capacity. */
-    private fun relieve(room: WorkerRoom) {
-        if (room.capacity == Resources.NONE || room.charged.fitsIn(room.capacity)) return
-        if (isFine(room.seen, room.capacity)) return
+    private fun preemptIfOverloaded(worker: WorkerState) {
+        if (worker.capacity == Resources.NONE || worker.allocated.fitsIn(worker.capacity)) return
+        if (isBelowThreshold(worker.reportedUsage, worker.capacity)) return
         val excess = Resources(
-            maxOf(0, room.charged.processorsMillicores - room.capacity.processorsMillicores),
-            maxOf(0, room.charged.memoryBytes - room.capacity.memoryBytes),
+            maxOf(0, worker.allocated.processorsMillicores - worker.capacity.processorsMillicores),
+            maxOf(0, worker.allocated.memoryBytes - worker.capacity.memoryBytes),
         )
-        preemptions.choose(room, excess, room.stopping) { !it.job.isImportant }?.let { preemptions.order(it) }
+        preemptions.chooseVictims(worker, excess, worker.stopping) {
+            !it.job.isImportant
+        }?.let { preemptions.preempt(it) }
     }
 
-    private fun isFine(seen: Resources, capacity: Resources): Boolean =
-        seen.processorsMillicores <= capacity.processorsMillicores / PERCENT * NEAR_PERCENT &&
-            seen.memoryBytes <= capacity.memoryBytes / PERCENT * NEAR_PERCENT
+    private fun isBelowThreshold(usage: Resources, capacity: Resources): Boolean =
+        usage.processorsMillicores <= capacity.processorsMillicores / PERCENT * OVERLOAD_PERCENT &&
+            usage.memoryBytes <= capacity.memoryBytes / PERCENT * OVERLOAD_PERCENT
 
     private companion object {
         const val PERCENT = 100
 
         /** Reports lag by a few seconds; the rest is room for what grows in the meantime. */
-        const val NEAR_PERCENT = 95
+        const val OVERLOAD_PERCENT = 95
     }
 }
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/WaitReason.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/WaitReason.kt
@@ -3,21 +3,23 @@
 
 internal object WaitReason {
     fun of(job: JobEntry): String? {
-        val waiting = job.shapeQueue ?: return null
-        val size = waiting.wanted
+        val queue = job.shapeQueue ?: return null
+        val size = queue.demand
         val kept = job.reservations.firstOrNull()
-        val head = waiting.jobs.first()
+        val head = queue.jobs.first()
         return when {
-            waiting.state == QueueState.WAITS_FOR_LIMIT ->
-                "Waits until plan ${waiting.kindQueue.plan.name} uses less of its allowance."
+            queue.state == QueueState.WAITS_FOR_LIMIT ->
+                "Waits until plan ${queue.kindQueue.plan.name} uses less of its allowance."
             kept != null ->
-                "Room is kept on ${kept.holds.joinToString { it.room.workerId }} and expected to be free at " +
+                "Room is kept on ${kept.workerReservations.joinToString {
+                    it.worker.workerId
+                }} and expected to be free at " +
                     "${kept.startAtMs} ms."
-            waiting.state == QueueState.WAITS_FOR_ROOM && head === job ->
+            queue.state == QueueState.WAITS_FOR_ROOM && head === job ->
                 "Waits for ${size.processorsMillicores} millicores, ${size.memoryBytes} bytes of memory and " +
                     "${size.accelerators} accelerators to become free."
-            waiting.state == QueueState.WAITS_FOR_ROOM ->
-                "Waits behind job ${head.item.jobId}, which asks for the same size and waits for free room."
+            queue.state == QueueState.WAITS_FOR_ROOM ->
+                "Waits behind job ${head.item.jobId}, which asks for the same size and waits for free capacity."
             else -> "Waits for its turn in the queue."
         }
     }
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/WorkQueue.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/WorkQueue.kt
@@ -9,10 +9,10 @@
     val readyKinds: LinkedHashSet<KindQueue> = LinkedHashSet()
 
     /** Kinds with at least one queue that waits for room or for the limit of its plan. */
-    val waitingKinds: LinkedHashSet<KindQueue> = LinkedHashSet()
+    val blockedKinds: LinkedHashSet<KindQueue> = LinkedHashSet()
 
     /** Plans that use or keep less than when the queue last looked at them. */
-    val freedPlans: LinkedHashSet<PlanAccount> = LinkedHashSet()
+    val freedPlans: LinkedHashSet<PlanState> = LinkedHashSet()
 
     fun add(job: JobEntry) {
         if (job.pending.isEmpty()) return
@@ -43,7 +43,7 @@
     }
 
     /** Records that [plan] may start more, so that the next round looks at what waits for its limit. */
-    fun limitFreed(plan: PlanAccount) {
+    fun retryAtLimit(plan: PlanState) {
         freedPlans.add(plan)
     }
 
@@ -61,8 +61,8 @@
                 readyKinds.add(kind)
             }
             QueueState.WAITS_FOR_LIMIT, QueueState.WAITS_FOR_ROOM -> {
-                kind.waiting.add(queue)
-                waitingKinds.add(kind)
+                kind.blocked.add(queue)
+                blockedKinds.add(kind)
             }
             QueueState.EMPTY -> Unit
         }
@@ -75,8 +75,8 @@
                 if (queue.kindQueue.ready.isEmpty()) readyKinds.remove(queue.kindQueue)
             }
             QueueState.WAITS_FOR_LIMIT, QueueState.WAITS_FOR_ROOM -> {
-                queue.kindQueue.waiting.remove(queue)
-                if (queue.kindQueue.waiting.isEmpty) waitingKinds.remove(queue.kindQueue)
+                queue.kindQueue.blocked.remove(queue)
+                if (queue.kindQueue.blocked.isEmpty) blockedKinds.remove(queue.kindQueue)
             }
             QueueState.EMPTY -> Unit
         }
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/WorkerPool.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/WorkerIndex.kt
@@ -4,34 +4,34 @@
 import dev.bronzeshore.core.Resources
 
 /** Workers with and without accelerators form separate pools, so that plain work leaves accelerators alone. */
-internal class WorkerPool(private val roomAt: (slot: Int) -> WorkerRoom) {
-    private val byProcessors = FreeRoomIndex { it.processorsMillicores }
-    private val byMemory = FreeRoomIndex { it.memoryBytes }
+internal class WorkerIndex(private val workerAt: (slot: Int) -> WorkerState) {
+    private val byProcessors = FreeCapacityIndex { it.processorsMillicores }
+    private val byMemory = FreeCapacityIndex { it.memoryBytes }
     private val candidates = IntArray(MAX_CANDIDATES)
 
-    fun put(room: WorkerRoom) {
-        val free = room.free
-        byProcessors.put(room.slot, free)
-        byMemory.put(room.slot, free)
+    fun put(worker: WorkerState) {
+        val free = worker.free
+        byProcessors.put(worker.slot, free)
+        byMemory.put(worker.slot, free)
     }
 
-    fun remove(room: WorkerRoom) {
-        byProcessors.remove(room.slot)
-        byMemory.remove(room.slot)
+    fun remove(worker: WorkerState) {
+        byProcessors.remove(worker.slot)
+        byMemory.remove(worker.slot)
     }
 
     /** Returns the best candidate for [size] by [scoreOf] (lowest wins), or null if no worker has the room. */
-    fun bestFit(size: Resources, scoreOf: (WorkerRoom) -> Long): WorkerRoom? {
-        if (byProcessors.surelyLacks(size)) return null
-        var best: WorkerRoom? = null
+    fun bestFit(size: Resources, scoreOf: (WorkerState) -> Long): WorkerState? {
+        if (byProcessors.cannotFit(size)) return null
+        var best: WorkerState? = null
         var bestScore = Long.MAX_VALUE
         for (index in arrayOf(byProcessors, byMemory)) {
             val count = index.collectFitting(size, candidates)
             for (at in 0 until count) {
-                val room = roomAt(candidates[at])
-                val score = scoreOf(room)
+                val worker = workerAt(candidates[at])
+                val score = scoreOf(worker)
                 if (score < bestScore) {
-                    best = room
+                    best = worker
                     bestScore = score
                 }
             }
@@ -47,15 +47,15 @@
         val found = byProcessors.collectFitting(size, slots)
         if (found == wanted) return wanted
         var parts = 0L
-        for (at in 0 until found) parts += size.timesIn(roomAt(slots[at]).free)
+        for (at in 0 until found) parts += size.timesFittingIn(workerAt(slots[at]).free)
         return minOf(parts, wanted.toLong()).toInt()
     }
 
     /** Returns up to [count] workers with the most free processors. */
-    fun largest(count: Int): List<WorkerRoom> {
+    fun largest(count: Int): List<WorkerState> {
         val slots = IntArray(count)
         val found = byProcessors.collectLargest(slots)
-        return (0 until found).map { roomAt(slots[it]) }
+        return (0 until found).map { workerAt(slots[it]) }
     }
 
     private companion object {
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/WorkerRoom.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/WorkerState.kt
@@ -4,7 +4,7 @@
 import dev.bronzeshore.core.Resources
 
 /** Mutable room of one worker; [slot] is its position in the indexes. */
-internal class WorkerRoom(val workerId: String, val slot: Int) {
+internal class WorkerState(val workerId: String, val slot: Int) {
     var rack: String = ""
     var capacity: Resources = Resources.NONE
     var accepting: Boolean = false
@@ -13,19 +13,19 @@
     var removed: Boolean = false
 
     /** Sum of the charges of all parts on this worker. */
-    var charged: Resources = Resources.NONE
+    var allocated: Resources = Resources.NONE
 
     /** Room kept for work that is not placed yet. */
-    var held: Resources = Resources.NONE
+    var reserved: Resources = Resources.NONE
 
     /** Sum of the charges of parts that may be asked to leave or are leaving. */
-    var yielding: Resources = Resources.NONE
+    var preemptible: Resources = Resources.NONE
 
     /** Sum of the charges of parts that were told to leave. */
     var stopping: Resources = Resources.NONE
 
     /** Sum of the most recent reported use. */
-    var seen: Resources = Resources.NONE
+    var reportedUsage: Resources = Resources.NONE
 
     /** Free room at the last update of the indexes. */
     var indexedFree: Resources = Resources.NONE
@@ -33,13 +33,13 @@
     val parts: LinkedHashSet<RunningPart> = LinkedHashSet()
 
     /** Reservations on this worker, oldest first. */
-    val holds: ArrayList<Hold> = ArrayList()
+    val reservations: ArrayList<WorkerReservation> = ArrayList()
 
     /** Room that running parts leave; negative where capacity shrank or estimates rose. */
-    val uncharged: Resources
-        get() = capacity - charged
+    val unallocated: Resources
+        get() = capacity - allocated
 
     /** Room that any work may take. */
     val free: Resources
-        get() = capacity - charged - held
+        get() = capacity - allocated - reserved
 }
--- a/placement/src/test/kotlin/dev/bronzeshore/placement/PolicyTest.kt
+++ b/placement/src/test/kotlin/dev/bronzeshore/placement/PolicyTest.kt
@@ -96,7 +96,7 @@
         val deadlineMs = clock.nowMs + 120_000
         engine.submit(job("render", cores(8), kind = important, startBeforeMs = deadlineMs))
         assertTrue(engine.step().preemptions.isEmpty())
-        clock.nowMs = deadlineMs - JobEntry.PRESSING_BEFORE_MS
+        clock.nowMs = deadlineMs - JobEntry.TIME_CRITICAL_BEFORE_MS
         assertEquals("other", engine.step().preemptions.single().jobId)
         engine.partEnded("other", 0, "w0", requeue = true)
         assertEquals("render", engine.step().placements.single().jobId)
