--- a/placement/src/main/kotlin/dev/bronzeshore/placement/BackfillPlanner.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/BackfillPlanner.kt
@@ -1,4 +1,4 @@
-/** Uses kept room for short batch work until the room is needed. */
+/** Runs short batch work in reserved capacity until the reservation is due. */
 package dev.bronzeshore.placement
 
 import dev.bronzeshore.core.ClockMs
@@ -6,8 +6,8 @@
 import dev.bronzeshore.core.Resources
 
 /**
- * A part may start in kept room if its stored deadline, now plus its declared run time, comes before the deadline of
- * each reservation on the worker. If it is still there by then it is told to leave, so it cannot delay a reservation.
+ * A part may start in reserved capacity if its deadline, now plus its declared run time, is before the start of each
+ * reservation on the worker. It is preempted if it still runs then, so that backfill cannot delay a reservation.
  */
 internal class BackfillPlanner(
     private val clock: ClockMs,
@@ -16,7 +16,7 @@
     private val starter: PartStarter,
     private val reservations: ReservationRegistry,
 ) {
-    /** Starts one part of [waiting] in kept room; returns false if no worker allows it. */
+    /** Starts one part of [blockedQueue] in reserved capacity; returns false if no worker allows it. */
     fun startOnReservedWorker(blockedQueue: ShapeQueue): Boolean {
         val nowMs = clock()
         for (worker in workers.reservedWorkersFor(blockedQueue.shape.size)) {
@@ -27,7 +27,7 @@
         return false
     }
 
-    /** Starts waiting work on [room] as far as running parts leave room there. */
+    /** Starts blocked work in the unallocated capacity of [worker], which has reservations. */
     fun fill(worker: WorkerState) {
         if (worker.reservations.isEmpty()) return
         val nowMs = clock()
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Jobs of equal size may differ in their run time, so a few behind the first one are looked at, too. */
+    /** Jobs of equal size may differ in their run time, so a few behind the first one are checked as well. */
     private fun jobFor(blockedQueue: ShapeQueue, nowMs: Long, neededAtMs: Long): JobEntry? {
         val isBackfill = blockedQueue.kindQueue.kind.policy == Policy.BATCH && blockedQueue.shape.gangParts == 0
         if (!isBackfill || nowMs + blockedQueue.shortestRunMs > neededAtMs) return null
@@ -55,7 +55,7 @@
         }
     }
 
-    /** When the first reservation on [room] needs its room. */
+    /** Start of the earliest reservation on [worker]. */
     private fun neededAtMs(worker: WorkerState): Long = worker.reservations.minOf { it.reservation.startAtMs }
 
     private fun start(job: JobEntry, worker: WorkerState, nowMs: Long) {
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/BlockedQueues.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/BlockedQueues.kt
@@ -1,4 +1,4 @@
-/** Blocked queues of one kind, first in order first. */
+/** Blocked queues of one kind, in priority order. */
 package dev.bronzeshore.placement
 
 import dev.bronzeshore.core.Resources
@@ -7,7 +7,7 @@
 internal class BlockedQueues {
     private val inOrder: TreeSet<ShapeQueue> = TreeSet()
 
-    /** No waiting queue asks for less than this; may be too low after removals. */
+    /** Lower bounds of what the queues ask for; may be too low after removals. */
     private var leastMillicores: Long = Long.MAX_VALUE
     private var leastBytes: Long = Long.MAX_VALUE
 
@@ -28,7 +28,7 @@
 
     fun asSequence(): Sequence<ShapeQueue> = inOrder.asSequence()
 
-    /** Returns the first queue in [state] whose parts fit into [room] and that [accepts] approves, or null. */
+    /** Returns the first queue in [state] whose parts fit into [available] and that [accepts] approves, or null. */
     fun firstFitting(available: Resources, state: QueueState, accepts: (ShapeQueue) -> Boolean): ShapeQueue? {
         if (leastMillicores > available.processorsMillicores || leastBytes > available.memoryBytes) return null
         var millicores = Long.MAX_VALUE
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/BlockedWorkPlanner.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/BlockedWorkPlanner.kt
@@ -1,12 +1,12 @@
-/** Care for work that waits: overdue reservations, shares to be returned, and large jobs behind small ones. */
+/** Enforces due reservations, and reserves capacity for blocked work that is entitled to it or waits too long. */
 package dev.bronzeshore.placement
 
 import dev.bronzeshore.core.ClockMs
 
 /**
- * Looks at a few kinds in each round, in turn, so that no single round pays for all of them.
+ * Reviews a few kinds in each round, in turn, so that no single round bears the cost of all of them.
  *
- * Each kind is looked at about every [CYCLE_MS]; nothing here depends on a single event.
+ * Each kind is reviewed about every [CYCLE_MS], so a missed event cannot leave work blocked.
  */
 internal class BlockedWorkPlanner(
     private val clock: ClockMs,
@@ -73,7 +73,7 @@
         return action()
     }
 
-    /** Keeps room for waiting parts of [kind] up to its share: one part at a time would return the share too slowly. */
+    /** Reserves capacity for blocked parts of [kind] up to its share; one part at a time would be too slow. */
     private fun reserveShare(kind: KindQueue, nowMs: Long) {
         val candidates = kind.blocked.asSequence()
             .filter { it.shape.gangParts == 0 }
@@ -91,7 +91,7 @@
         }
     }
 
-    /** Running work that ends soon makes room without a disturbance; borrowers leave only if nothing else helps. */
+    /** Prefers capacity of running work that ends soon, so that borrowers are preempted only if nothing else helps. */
     private fun reserveOnePart(job: JobEntry, nowMs: Long): Boolean =
         planner.reserveOne(job, latestMs = nowMs + MAX_WAIT_BEFORE_RECLAIM_MS) ||
             planner.reclaimShare(job) ||
@@ -103,19 +103,19 @@
         const val MAX_QUEUES_PER_KIND = 8
         const val MAX_SHARE_RESERVATIONS_PER_KIND = 64
 
-        /** Most waits are shorter, because running work ends; kept room is idle room. */
+        /** Most waits are shorter because running work ends, and reserved capacity is idle. */
         const val RESERVE_AFTER_MS = 200L
 
-        /** Within this time a kind below its share waits for running work rather than stopping a borrower. */
+        /** A kind below its share waits this long for running work to end rather than preempt a borrower. */
         const val MAX_WAIT_BEFORE_RECLAIM_MS = 5_000L
 
-        /** A kind above its share has no claim to more, but its large jobs must not wait for ever behind small ones. */
+        /** A kind above its share is not entitled to more, but its large jobs must not starve behind small ones. */
         const val RESERVE_ABOVE_SHARE_AFTER_MS = 30_000L
 
-        /** Longer than a checkpoint (2 s) and its repetition (after 3 s). */
+        /** Longer than a checkpoint (2 s) and its retry (after 3 s). */
         const val RECHECK_AFTER_MS = 4_000L
 
-        /** A reservation whose room cannot be had by then is planned anew. */
+        /** A reservation whose capacity cannot be freed by then is removed and planned again. */
         const val DISCARD_AFTER_MS = 10_000L
     }
 }
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/CapacityForecast.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/CapacityForecast.kt
@@ -1,16 +1,16 @@
-/** When a worker is expected to have room, by the declared run times of what runs there. */
+/** Forecasts when a worker has free capacity, from the declared run times of its running parts. */
 package dev.bronzeshore.placement
 
 import dev.bronzeshore.core.Resources
 
-/** One part fits on [room] from [atMs] on. */
+/** One part is expected to fit on [worker] from [atMs] on. */
 internal class ExpectedStart(val worker: WorkerState, val atMs: Long)
 
 internal object CapacityForecast {
-    /** Parts that run longer than declared are expected to go on for this long. */
+    /** Parts that run longer than declared are expected to run for this much longer. */
     private const val OVERRUN_MS = 10_000L
 
-    /** Returns up to [parts] openings for [size] on [room], earliest first, not counting room that is kept. */
+    /** Returns up to [parts] expected starts for [size] on [worker], earliest first; excludes reserved capacity. */
     fun of(worker: WorkerState, size: Resources, parts: Int, nowMs: Long): List<ExpectedStart> {
         val starts = ArrayList<ExpectedStart>()
         var demand = size
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/FairShareTracker.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/FairShareTracker.kt
@@ -1,33 +1,34 @@
-/** Fair shares between plans and between the kinds of a plan. */
+/** Fair shares of plans and of the kinds of a plan. */
 package dev.bronzeshore.placement
 
 import dev.bronzeshore.core.Resources
 import dev.bronzeshore.core.Urgency
 
 /**
- * Weighted shares of the whole data centre in millionths; usage counts in the dimension that is used most.
+ * Weighted dominant-resource shares of the whole data centre, in millionths: usage counts in the dimension that is used
+ * most.
  *
- * Only plans and kinds with pending or running work count, so an unused share is lent to the others.
+ * Only plans and kinds with pending or running work count, so others may borrow an unused share.
  */
 internal class FairShareTracker(private val workers: WorkerRegistry, private val plans: Collection<PlanState>) {
-    private var knownVersion = -1L
+    private var computedVersion = -1L
     private var version = 0L
-    private var knownTotal = Resources.NONE
+    private var computedTotal = Resources.NONE
 
-    /** To be called when a kind starts or stops to have work, or a weight changes. */
+    /** Must be called when a kind becomes active or inactive, or a weight changes. */
     fun invalidate() {
         version++
     }
 
-    /** Brings all entitlements up to date; cheap when nothing changed. */
+    /** Recomputes all fair shares; cheap when nothing changed. */
     fun refresh() {
-        if (knownVersion == version && knownTotal == workers.totalCapacity) return
-        knownVersion = version
-        knownTotal = workers.totalCapacity
+        if (computedVersion == version && computedTotal == workers.totalCapacity) return
+        computedVersion = version
+        computedTotal = workers.totalCapacity
         val planWeights = plans.filter { it.isActive() }.sumOf { it.shareWeight }
         for (plan in plans) {
             plan.dominantShareMicros = dominantShareMicros(plan.used)
-            val planMicros = minOf(MICROS * plan.shareWeight / maxOf(1, planWeights), limitMicros(plan))
+            val planMicros = minOf(MICROS * plan.shareWeight / maxOf(1, planWeights), limitShareMicros(plan))
             val kindWeights = plan.kinds.values.filter { it.isActive }.sumOf { it.weight }
             for (kind in plan.kinds.values) {
                 kind.dominantShareMicros = dominantShareMicros(kind.used)
@@ -36,7 +37,7 @@
         }
     }
 
-    /** Records that the kind of [job] uses [change] more (or less, if negative). */
+    /** Adds [change], which may be negative, to the usage of the kind and the plan of [job]. */
     fun recordUsage(job: JobEntry, change: Resources) {
         val kind = job.kindQueue
         if (job.item.urgency == Urgency.URGENT) kind.urgentUsed += change
@@ -46,22 +47,22 @@
         kind.plan.dominantShareMicros = dominantShareMicros(kind.plan.used)
     }
 
-    /** True if [size] more for [kind] stays within its share together with what is already kept for it. */
+    /** True if [kind] stays within its share with [size] more, including what is reserved for it. */
     fun isWithinShare(kind: KindQueue, size: Resources): Boolean =
         dominantShareMicros(kind.used + kind.reserved + size) <= kind.fairShareMicros
 
-    /** The same for urgent work, which may displace other work of its own kind: only pressing use counts. */
+    /** Like [isWithinShare] for urgent work, which may preempt other work of its kind: only urgent usage counts. */
     fun isUrgentWithinShare(kind: KindQueue, size: Resources): Boolean =
         dominantShareMicros(kind.urgentUsed + kind.reserved + size) <= kind.fairShareMicros
 
-    /** True if the kind of [running] is at or above its share even without it; urgent work is counted separately. */
+    /** True if the kind of [running] is at or above its share even without it; urgent parts count urgent usage only. */
     fun usesBorrowedShare(running: RunningPart): Boolean {
         val kind = running.job.kindQueue
         val counted = if (running.job.item.urgency == Urgency.URGENT) kind.urgentUsed else kind.used
         return dominantShareMicros(counted - running.job.item.size) >= kind.fairShareMicros
     }
 
-    /** The kinds that use most above their share, largest excess first. */
+    /** The kinds that exceed their share most, largest excess first. */
     fun borrowers(): List<KindQueue> = plans
         .flatMap { it.kinds.values }
         .filter { it.dominantShareMicros > it.fairShareMicros }
@@ -77,8 +78,8 @@
         )
     }
 
-    /** A plan's kinds share what its limit allows if that is less than its weight gives. */
-    private fun limitMicros(plan: PlanState): Long {
+    /** Share that the limit of [plan] allows; it caps the share that the plan's weight gives. */
+    private fun limitShareMicros(plan: PlanState): Long {
         val limit = plan.limit ?: return 0
         val total = workers.totalCapacity
         return minOf(
@@ -87,13 +88,13 @@
         )
     }
 
-    private fun micros(part: Long, total: Long): Long = when {
+    private fun micros(amount: Long, total: Long): Long = when {
         total == 0L -> 0
-        total <= MAX_EXACT_TOTAL -> part * MICROS / total
+        total <= MAX_EXACT_TOTAL -> amount * MICROS / total
         else -> {
-            // Drops low bits that a share in millionths does not need, so that the product fits into a long.
+            // Drops low bits that a share in millionths does not need, so that the product does not overflow a long.
             val shift = Long.SIZE_BITS - total.countLeadingZeroBits() - EXACT_BITS
-            (part shr shift) * MICROS / (total shr shift)
+            (amount shr shift) * MICROS / (total shr shift)
         }
     }
 
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/FitScore.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/FitScore.kt
@@ -1,18 +1,18 @@
-/** Ranks workers that fit a part: the lower the score, the better the fit. */
+/** Scores workers that fit a part: the lower the score, the better the fit. */
 package dev.bronzeshore.placement
 
 import dev.bronzeshore.core.Resources
 
 internal object FitScore {
-    /** Scores of one dimension run from 0 (nothing left over) to this. */
+    /** Largest score of one dimension; 0 means that no capacity is left over. */
     private const val SCALE: Long = 1_000_000
 
     /**
-     * Best fit: the least room left over, as parts of the worker's capacity, summed over the dimensions.
+     * Best fit: the least capacity left over, as fractions of the worker's capacity, summed over the dimensions.
      *
-     * docs/decisions/0002-placement-policy.md has the scores that were measured and did no better.
+     * docs/decisions/0002-placement-policy.md compares it with other scores, which did no better.
      */
-    fun tight(worker: WorkerState, size: Resources): Long {
+    fun bestFit(worker: WorkerState, size: Resources): Long {
         val free = worker.free
         val capacity = worker.capacity
         return leftOver(free.processorsMillicores, size.processorsMillicores, capacity.processorsMillicores) +
@@ -21,8 +21,8 @@
     }
 
     /** Best fit among the racks that hold the fewest parts of the same job; [partsInRack] counts them. */
-    fun spread(worker: WorkerState, size: Resources, partsInRack: Int): Long =
-        partsInRack * RACK_PENALTY + tight(worker, size)
+    fun rackSpread(worker: WorkerState, size: Resources, partsInRack: Int): Long =
+        partsInRack * RACK_PENALTY + bestFit(worker, size)
 
     private fun leftOver(free: Long, size: Long, capacity: Long): Long =
         if (capacity == 0L) 0 else (free - size) / (capacity / SCALE + 1)
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/FleetCapacity.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/FleetCapacity.kt
@@ -1,9 +1,9 @@
-/** What the fleet holds in all when it is empty. */
+/** Total capacity of the fleet. */
 package dev.bronzeshore.placement
 
 import dev.bronzeshore.core.Resources
 
-/** Counts workers by capacity; fleets have few different capacities, so questions about the fleet are cheap. */
+/** Counts workers by capacity; fleets have few different capacities, so queries are cheap. */
 internal class FleetCapacity {
     private val workersByCapacity: HashMap<Resources, Int> = HashMap()
 
@@ -13,9 +13,9 @@
     private var workerCount: Int = 0
 
     /**
-     * Logarithmic class of [size] in the dimension where it is largest, two classes for each doubling.
+     * Logarithmic class of [size] in its largest dimension, two classes for each doubling.
      *
-     * It is relative to the average worker, so that processors and memory can be compared.
+     * Sizes are relative to the average worker, so that processors and memory can be compared.
      */
     fun sizeClassOf(size: Resources): Int {
         if (workerCount == 0) return 0
@@ -29,9 +29,7 @@
         return magnitude * 2 + if (isUpperHalf) 1 else 0
     }
 
-    private fun relativeToAverage(size: Long, total: Long): Long = if (total ==
-        0L
-    ) {
+    private fun relativeToAverage(size: Long, total: Long): Long = if (total == 0L) {
         0
     } else {
         size * SIZE_SCALE / maxOf(1, total / workerCount)
@@ -44,7 +42,7 @@
         workersByCapacity.merge(capacity, workers) { old, added -> (old + added).takeIf { it > 0 } }
     }
 
-    /** True if [parts] parts of [size] fit together; also true while no worker is known. */
+    /** True if [parts] parts of [size] fit on the empty fleet at the same time; also true while no worker is known. */
     fun fits(size: Resources, parts: Int): Boolean {
         if (workersByCapacity.isEmpty()) return true
         var fitting = 0L
@@ -58,7 +56,7 @@
     }
 }
 
-/** How many times this size fits into [room]. */
+/** How many times this size fits into [available]. */
 internal fun Resources.timesFittingIn(available: Resources): Long = minOf(
     quotient(available.processorsMillicores, processorsMillicores),
     quotient(available.memoryBytes, memoryBytes),
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/FreeCapacityIndex.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/FreeCapacityIndex.kt
@@ -1,14 +1,14 @@
-/** Ordered index over the room of workers, so that a fit check does not visit every worker. */
+/** Ordered index of the free capacity of workers, so that a fit check does not visit every worker. */
 package dev.bronzeshore.placement
 
 import dev.bronzeshore.core.Resources
 
 /**
- * A treap over worker slots, ordered by one dimension of their room ([keyOf]).
+ * A treap over worker slots, ordered by one dimension of their free capacity ([keyOf]).
  *
- * Each node also knows the largest processors, memory and accelerators below it, so that a query skips subtrees that
- * cannot hold the wanted size. Updates and queries take O(log n) steps unless many workers have room in one dimension
- * and none in another.
+ * Each node also stores the most free processors, memory and accelerators in its subtree, so that a query skips
+ * subtrees that cannot fit the size. Updates and queries take O(log n) steps unless many workers have free capacity in
+ * one dimension and none in another.
  */
 internal class FreeCapacityIndex(private val keyOf: (Resources) -> Long) {
     private var left = IntArray(INITIAL_SLOTS)
@@ -23,7 +23,7 @@
 
     private var found = 0
 
-    /** Sets the room of the worker in [slot]. */
+    /** Sets the free capacity of the worker in [slot]. */
     fun put(slot: Int, size: Resources) {
         if (slot >= left.size) grow(slot)
         if (present[slot]) {
@@ -47,21 +47,21 @@
         present[slot] = false
     }
 
-    /** Fills [into] with slots that fit [size], least room first, and returns how many were found. */
+    /** Fills [into] with slots that fit [size], least free capacity first, and returns how many were found. */
     fun collectFitting(size: Resources, into: IntArray): Int {
         found = 0
         collect(root, size, keyOf(size), into)
         return found
     }
 
-    /** Fills [into] with the slots of most room, most room first, and returns how many there are. */
+    /** Fills [into] with the slots of the most free capacity, largest first, and returns how many there are. */
     fun collectLargest(into: IntArray): Int {
         found = 0
         collectDescending(root, into)
         return found
     }
 
-    /** True if no single worker can fit [size]; false says nothing. */
+    /** True if no worker can fit [size]; false does not mean that one can. */
     fun cannotFit(size: Resources): Boolean = root == NONE || !mayFit(root, size)
 
     private fun collect(node: Int, size: Resources, key: Long, into: IntArray) {
@@ -117,7 +117,7 @@
         return node
     }
 
-    /** Splits the subtree of [node] into what precedes [pivot] and the rest. */
+    /** Splits the subtree of [node] into the slots that precede [pivot] and the rest. */
     private fun split(node: Int, pivot: Int) {
         if (node == NONE) {
             splitLeft = NONE
@@ -163,7 +163,7 @@
     private fun precedes(slot: Int, other: Int): Boolean =
         keys[slot] < keys[other] || (keys[slot] == keys[other] && slot < other)
 
-    /** A fixed scramble of the slot number keeps the tree balanced and each run reproducible. */
+    /** A hash of the slot number instead of a random priority keeps the tree balanced and each run reproducible. */
     private fun priority(slot: Int): Int =
         ((slot + 1) * HASH_MULTIPLIER) xor ((slot + 1) * HASH_MULTIPLIER ushr HASH_SHIFT)
 
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/JobChecker.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/JobChecker.kt
@@ -1,4 +1,4 @@
-/** Finds jobs that can never start here, so that they get a numbered answer and never block a queue. */
+/** Finds jobs that can never start in this data centre, so that they get a result code and never block a queue. */
 package dev.bronzeshore.placement
 
 import dev.bronzeshore.core.ClockMs
@@ -14,10 +14,10 @@
     private val registry: JobRegistry,
     private val reservations: ReservationRegistry,
 ) {
-    /** True once allowances were set; until then no job is refused for its plan. */
+    /** True once allowances were set; until then no job is refused for exceeding the allowance of its plan. */
     var allowancesKnown: Boolean = false
 
-    /** Set when the fleet or an allowance changed, so that queued jobs are checked again. */
+    /** Set when the fleet or an allowance has changed, so that queued jobs are checked again. */
     var fleetChanged: Boolean = false
 
     fun checkFeasibility(item: WorkItem): Fault? {
@@ -38,7 +38,7 @@
         return if (startBeforeMs < clock()) deadlinePassed() else null
     }
 
-    /** Ends queued jobs whose latest start has passed or that became impossible. */
+    /** Refuses queued jobs whose latest start has passed or that can no longer start. */
     fun refuseInfeasible(refusals: MutableList<Refusal>) {
         val nowMs = clock()
         while (true) {
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/JobEntry.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/JobEntry.kt
@@ -1,4 +1,4 @@
-/** One job as the engine tracks it: its pending and its running parts. */
+/** A job in the engine with its pending and running parts. */
 package dev.bronzeshore.placement
 
 import dev.bronzeshore.core.Policy
@@ -7,27 +7,27 @@
 import java.util.TreeMap
 import java.util.TreeSet
 
-/** True if all parts start together or none. */
+/** True if all parts start together or not at all. */
 internal fun WorkItem.isGang(): Boolean = allAtOnce || kind.policy == Policy.GANG
 
-/** A known job; [sequence] is the order of arrival and makes every ordering total. */
+/** A tracked job; [sequence] is the order of arrival and breaks ties, so that every ordering is total. */
 internal class JobEntry(val item: WorkItem, val kindQueue: KindQueue, val sequence: Long) : Comparable<JobEntry> {
     val pending: TreeSet<Int> = TreeSet()
     val running: TreeMap<Int, RunningPart> = TreeMap()
     val reservations: ArrayList<Reservation> = ArrayList()
 
-    /** Number of running parts in each rack; kept for work that is spread over racks. */
+    /** Number of running parts in each rack; maintained only for work that is spread over racks. */
     val partsByRack: HashMap<String, Int> = HashMap()
 
     val budget: PreemptionBudget = PreemptionBudget()
 
-    /** Queue that holds the job while parts are pending. */
+    /** Queue of the job while parts are pending, otherwise null. */
     var shapeQueue: ShapeQueue? = null
 
-    /** True once any part was placed: the job may no longer be refused as "not run". */
+    /** True once a part was placed: from then on the job may not be refused as "not run". */
     var started: Boolean = false
 
-    /** When the job was queued, or when the last of its parts was placed. */
+    /** When the job was queued, or when its most recent part was placed. */
     var waitingSinceMs: Long = 0
 
     val isGang: Boolean = item.isGang()
@@ -37,10 +37,10 @@
 
     val isImportant: Boolean = item.kind.policy == Policy.IMPORTANT
 
-    /** Important work goes by its deadline, all other work by its age. */
+    /** Important work is ordered by its latest start, all other work by its age. */
     val orderMs: Long = if (isImportant) item.startBeforeMs ?: Long.MAX_VALUE else item.acceptedAtMs
 
-    /** True for urgent work and for important work that is close to its latest start. */
+    /** True for urgent work and for important work close to its latest start. */
     fun isTimeCritical(nowMs: Long): Boolean = item.urgency == Urgency.URGENT ||
         (isImportant && item.startBeforeMs.let { it != null && nowMs >= it - TIME_CRITICAL_BEFORE_MS })
 
@@ -50,7 +50,7 @@
     }
 
     internal companion object {
-        /** Leaves time for a checkpoint (2 s), for one that has to be repeated, and for a change of owner. */
+        /** Covers a checkpoint (2 s), one retry of it, and a change of owner. */
         const val TIME_CRITICAL_BEFORE_MS: Long = 60_000
     }
 }
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/JobRegistry.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/JobRegistry.kt
@@ -1,4 +1,4 @@
-/** Known jobs and plans, and the accounting of each start and end of a part. */
+/** Tracked jobs and plans, and the accounting of each start and end of a part. */
 package dev.bronzeshore.placement
 
 import dev.bronzeshore.core.ClockMs
@@ -6,7 +6,7 @@
 import dev.bronzeshore.core.Resources
 import dev.bronzeshore.core.WorkItem
 
-/** Keeps queue, worker room, shares and plan usage in step with each other. */
+/** Keeps queue, worker allocations, shares and plan usage consistent with each other. */
 internal class JobRegistry(
     private val clock: ClockMs,
     private val workers: WorkerRegistry,
@@ -40,7 +40,7 @@
         updateActive(job.kindQueue)
     }
 
-    /** Takes room on [room] for [part]; the caller has checked that it fits, or has found it running there. */
+    /** Allocates capacity on [worker] for [part], which the caller has checked to fit or found running there. */
     fun start(job: JobEntry, part: Int, worker: WorkerState): RunningPart {
         val nowMs = clock()
         val running = RunningPart(job, part, worker, nowMs, job.item.size)
@@ -54,7 +54,7 @@
         return running
     }
 
-    /** Gives back what [running] took. */
+    /** Frees what is allocated to [running]. */
     fun release(running: RunningPart) {
         val job = running.job
         job.running.remove(running.part)
@@ -75,6 +75,6 @@
         shares.invalidate()
     }
 
-    /** Interactive work and gangs are never stopped for others: a gang that loses a part has to stop whole. */
+    /** Interactive work and gangs are never preempted: a gang that loses a part has to stop as a whole. */
     private fun JobEntry.allowsPreemption(): Boolean = !isGang && item.kind.policy != Policy.INTERACTIVE
 }
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/KindOrder.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/KindOrder.kt
@@ -1,23 +1,23 @@
-/** Which kind of work is served next. */
+/** Order in which kinds of work are served. */
 package dev.bronzeshore.placement
 
 /**
- * Kinds below their share go first, by urgency and then by use relative to weight; of these, pressing work leads.
+ * Kinds below their share come first, by urgency and then by usage relative to weight; time-critical work leads them.
  *
- * Kinds at or above their share take what is left by use relative to weight, so that a lent share is divided fairly.
+ * Kinds at or above their share follow by usage relative to weight, so that unused shares are divided fairly.
  */
 internal object KindOrder {
-    /** Returns the queue to serve first among [current] (null for none) and [other], which may be of any kinds. */
+    /** Returns the queue to serve first of [current] (null for none) and [other]; their kinds may differ. */
     fun first(current: ShapeQueue?, other: ShapeQueue, nowMs: Long): ShapeQueue {
         if (current == null) return other
         val currentTier = tierOf(current, nowMs)
         val otherTier = tierOf(other, nowMs)
-        val otherLeads = if (currentTier != otherTier) {
+        val otherIsFirst = if (currentTier != otherTier) {
             otherTier < currentTier
         } else {
             precedes(other, current, otherTier)
         }
-        return if (otherLeads) other else current
+        return if (otherIsFirst) other else current
     }
 
     private fun tierOf(queue: ShapeQueue, nowMs: Long): Int = when {
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/PlacementEngine.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/PlacementEngine.kt
@@ -1,4 +1,4 @@
-/** The decision engine: keeps workers, queue and usage, and decides what starts where. */
+/** Placement engine: tracks workers, queued jobs and usage, and decides which part starts on which worker. */
 package dev.bronzeshore.placement
 
 import arrow.core.Either
@@ -17,9 +17,9 @@
 /**
  * Implements [WorkPlacer] for the control thread; not thread-safe.
  *
- * [isIdempotent] says whether parts of a job may be stopped without a checkpoint when an ordered checkpoint did not end
- * them; it must be false for jobs that may not run twice. [estimateUsage] turns the lowering and raising of charges by
- * usage reports on.
+ * [isIdempotent] tells whether parts of a job may be stopped without a checkpoint when a requested checkpoint did not
+ * end them; it must be false for jobs that may not run twice. With [estimateUsage], usage reports adjust the
+ * allocations of running parts.
  */
 public class PlacementEngine(
     clock: ClockMs,
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/PreemptionBudget.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/PreemptionBudget.kt
@@ -1,7 +1,7 @@
-/** How often running parts of a job may be stopped for the sake of others. */
+/** Limits how often the running parts of a job may be preempted. */
 package dev.bronzeshore.placement
 
-/** Remembers the disturbances of each part; at most [MAX_PER_HOUR] are allowed in any hour. */
+/** Records the preemptions of each part; at most [MAX_PER_HOUR] are allowed in any hour. */
 internal class PreemptionBudget {
     private val byPart: HashMap<Int, ArrayDeque<Long>> = HashMap()
 
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/PreemptionPlanner.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/PreemptionPlanner.kt
@@ -1,4 +1,4 @@
-/** Chooses running parts that leave so that other work can start, and remembers those that were told to. */
+/** Chooses running parts to preempt so that other work can start, and tracks the preemptions in progress. */
 package dev.bronzeshore.placement
 
 import dev.bronzeshore.core.ClockMs
@@ -8,7 +8,7 @@
 import dev.bronzeshore.core.TaskAction
 import dev.bronzeshore.core.Urgency
 
-/** [isIdempotent] says whether a job's parts may be stopped without a checkpoint if a checkpoint does not come. */
+/** [isIdempotent] tells whether a job's parts may be stopped without a checkpoint if the requested one fails. */
 internal class PreemptionPlanner(
     private val clock: ClockMs,
     private val shares: FairShareTracker,
@@ -18,9 +18,9 @@
     private val preemptions: ArrayList<Preemption> = ArrayList()
 
     /**
-     * Returns the parts on [room] that have to leave so that [size] fits, or null if that is not possible.
+     * Returns the parts on [worker] to preempt so that [size] fits, or null if that is not possible.
      *
-     * [available] is the room that [size] may use already, including that of parts which are leaving.
+     * [available] is the capacity that [size] may use already, including that of parts that are being preempted.
      */
     fun chooseVictims(
         worker: WorkerState,
@@ -39,7 +39,7 @@
         return null
     }
 
-    /** Returns parts of [plan] that have to leave so that its limit allows [size] more, or null if none help. */
+    /** Returns the parts of [plan] to preempt so that its limit allows [size] more, or null if that is not possible. */
     fun chooseVictimsOfPlan(plan: PlanState, size: Resources, rule: (RunningPart) -> Boolean): List<RunningPart>? {
         val limit = plan.limit ?: return null
         var used = plan.used - plan.stopping + size
@@ -54,10 +54,10 @@
         return null
     }
 
-    /** Rule for urgent and pressing work: less urgent parts leave, but no part of a kind that is below its share. */
-    fun timeCriticalRule(claimant: JobEntry): (RunningPart) -> Boolean {
+    /** Rule for time-critical work: preempts work that is not, except kinds below their share if it exceeds its own. */
+    fun timeCriticalRule(preemptor: JobEntry): (RunningPart) -> Boolean {
         val nowMs = clock()
-        val entitled = shares.isUrgentWithinShare(claimant.kindQueue, claimant.item.size)
+        val entitled = shares.isUrgentWithinShare(preemptor.kindQueue, preemptor.item.size)
         return { victim ->
             !victim.job.isTimeCritical(nowMs) &&
                 (entitled || !victim.job.kindQueue.isBelowShare) &&
@@ -65,20 +65,20 @@
         }
     }
 
-    /** Rule for a reservation whose time has come: backfill leaves, and so does batch work that is not more urgent. */
-    fun gangRule(claimant: JobEntry): (RunningPart) -> Boolean = { victim ->
+    /** Rule for a due gang reservation: preempts backfill, and batch work that is not more urgent. */
+    fun gangRule(preemptor: JobEntry): (RunningPart) -> Boolean = { victim ->
         victim.job.item.kind.policy == Policy.BATCH &&
-            (victim.mustEndByMs != null || victim.job.item.urgency >= claimant.item.urgency)
+            (victim.mustEndByMs != null || victim.job.item.urgency >= preemptor.item.urgency)
     }
 
-    /** Rule for a kind below its share: batch work that runs on a lent share leaves. */
-    fun shareRule(claimant: JobEntry): (RunningPart) -> Boolean = { victim ->
-        victim.job.kindQueue !== claimant.kindQueue &&
+    /** Rule for a kind below its share: preempts batch work of other kinds that is backfill or on a borrowed share. */
+    fun shareRule(preemptor: JobEntry): (RunningPart) -> Boolean = { victim ->
+        victim.job.kindQueue !== preemptor.kindQueue &&
             victim.job.item.kind.policy == Policy.BATCH &&
             (victim.mustEndByMs != null || shares.usesBorrowedShare(victim))
     }
 
-    /** Tells [victims] to leave. */
+    /** Requests that [victims] write a checkpoint and end. */
     fun preempt(victims: List<RunningPart>) {
         val nowMs = clock()
         for (victim in victims) {
@@ -90,7 +90,7 @@
         }
     }
 
-    /** Repeats orders that had no effect, because an order or its report may have been lost. */
+    /** Repeats preemptions that had no effect, because a request or its report may have been lost. */
     fun retryUnanswered() {
         val nowMs = clock()
         while (stopping.isNotEmpty()) {
@@ -112,13 +112,13 @@
         return drained
     }
 
-    /** Workers where [kinds] have their newest parts. */
+    /** Workers that run the newest parts of [kinds]. */
     fun workersOfNewestParts(kinds: Collection<KindQueue>): List<WorkerState> = kinds
         .flatMap { it.running.toList().takeLast(MAX_NEWEST_PER_KIND) }
         .map { it.worker }
         .distinct()
 
-    /** Room on [room] that no reservation keeps, once all parts that are leaving have left. */
+    /** Unreserved capacity that is free on [worker] once all parts that are being preempted have ended. */
     fun availableOn(worker: WorkerState): Resources = worker.free + worker.stopping
 
     private fun requestPreemption(victim: RunningPart, nowMs: Long, action: TaskAction) {
@@ -128,14 +128,14 @@
         preemptions.add(Preemption(victim.job.item.jobId, victim.part, victim.worker.workerId, action))
     }
 
-    /** A part placed in this very round is left alone: its start was not sent yet. */
+    /** A part placed in this round is exempt, because its start has not been sent yet. */
     private fun mayPreempt(part: RunningPart): Boolean {
         val nowMs = clock()
         val isExempt = part.isStopping || part.startedAtMs >= nowMs
         return part.isPreemptible && !isExempt && part.job.budget.allows(part.part, nowMs)
     }
 
-    /** Important work leaves only if it can start again well before its latest start. */
+    /** Important work is preempted only if it can start again well before its latest start. */
     private fun canRestartInTime(part: RunningPart): Boolean {
         val startBeforeMs = part.job.item.startBeforeMs
         if (!part.job.isImportant || startBeforeMs == null) return true
@@ -157,7 +157,7 @@
     }
 
     internal companion object {
-        /** A checkpoint takes about 2 s; a second one after 3 s still meets the 7.7 s limit for urgent work. */
+        /** A checkpoint takes about 2 s; a retry after 3 s still meets the 7.7 s limit for urgent work. */
         private const val RETRY_AFTER_MS = 3_000L
 
         private const val MAX_NEWEST_PER_KIND = 8
@@ -172,7 +172,7 @@
                 .thenByDescending { it.job.item.urgency }
                 .thenByDescending { it.startedAtMs }
 
-        /** Cost of disturbing [victims]: few parts, of little urgency, important ones only if nothing else helps. */
+        /** Cost of preempting [victims]: low for few parts of low urgency, very high for important ones. */
         fun cost(victims: List<RunningPart>): Int = victims.sumOf { victim ->
             when {
                 victim.job.isImportant -> IMPORTANT_COST
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/ReservationPlanner.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/ReservationPlanner.kt
@@ -1,4 +1,4 @@
-/** Decides where room is kept for work that does not fit now. */
+/** Decides where capacity is reserved for work that does not fit now. */
 package dev.bronzeshore.placement
 
 import dev.bronzeshore.core.ClockMs
@@ -11,7 +11,7 @@
     private val reservations: ReservationRegistry,
     private val preemptions: PreemptionPlanner,
 ) {
-    /** Keeps room for one part of [job], or for all parts of a gang, and tells less urgent parts to leave at once. */
+    /** Reserves capacity for one part of [job], or for all parts of a gang, and preempts other parts at once. */
     fun reserveTimeCritical(job: JobEntry): Boolean {
         if (job.isGang && job.kindQueue.plan.reservedGang != null) return false
         val parts = if (job.isGang) job.pending.size else 1
@@ -25,7 +25,7 @@
             if (chosen == null) {
                 victims.forEach { unmarkStopping(it) }
                 reservations.remove(reservation)
-                // Giving back what was kept for a moment must not count as freed room, or the job is tried for ever.
+                // Capacity that was reserved only here must not count as freed, or the job would be retried endlessly.
                 workers.freedWorkers.retainAll(freedBefore)
                 return false
             }
@@ -38,20 +38,20 @@
         return true
     }
 
-    /** A flood of urgent work above its share must not keep the room that others are entitled to. */
+    /** A burst of urgent work above its share must not reserve the capacity that others are entitled to. */
     private fun mayReserveTimeCritical(job: JobEntry, parts: Int): Boolean =
         job.kindQueue.timeCriticalReservations < MAX_TIME_CRITICAL_ABOVE_SHARE ||
             shares.isUrgentWithinShare(job.kindQueue, job.item.size * parts)
 
-    /** Keeps room for all parts of a gang where running parts are expected to end first. */
+    /** Reserves capacity for all parts of a gang where running parts are expected to end first. */
     fun reserveGang(job: JobEntry): Boolean =
         job.kindQueue.plan.reservedGang == null && reserveByExpectedEnds(job, ReservationPurpose.GANG, job.pending.size)
 
-    /** Keeps room for one part of [job] where running parts are expected to end first, but before [latestMs]. */
+    /** Reserves capacity for one part of [job] where running parts are expected to end first, by [latestMs]. */
     fun reserveOne(job: JobEntry, latestMs: Long = Long.MAX_VALUE): Boolean =
         reserveByExpectedEnds(job, ReservationPurpose.SHARE, 1, latestMs)
 
-    /** Keeps room for one part of [job] and tells parts that run on a lent share to leave. */
+    /** Reserves capacity for one part of [job] and preempts parts that run on a borrowed share. */
     fun reclaimShare(job: JobEntry): Boolean {
         val rule = preemptions.shareRule(job)
         val borrowers = shares.borrowers().filter { it !== job.kindQueue }
@@ -63,7 +63,7 @@
         return true
     }
 
-    /** Tells what is still in the way of [reservation] to leave; returns false if the room cannot be had. */
+    /** Preempts parts that still occupy [reservation]; returns false if its capacity cannot be freed. */
     fun enforce(reservation: Reservation): Boolean {
         val rule = when (reservation.purpose) {
             ReservationPurpose.URGENT -> preemptions.timeCriticalRule(reservation.job)
@@ -97,7 +97,7 @@
             )
     }
 
-    /** At its plan's limit, only parts of the plan itself make way: they free the limit along with the room. */
+    /** At its plan's limit, only parts of the same plan are preempted: that also frees some of the limit. */
     private fun cheapest(
         job: JobEntry,
         candidates: List<WorkerState>,
@@ -135,12 +135,12 @@
         val startAtMs = minOf(chosen.last().atMs, nowMs + MAX_WAIT_MS)
         val reservation = reservations.create(job, purpose, startAtMs)
         for ((worker, starts) in chosen.groupBy { it.worker }) reservations.reserve(reservation, worker, starts.size)
-        // Room that is free already is used in this round, not at the next check.
+        // Capacity that is free already is used in this round, not at the next check.
         if (startAtMs <= nowMs) reservation.workerReservations.forEach { workers.freedWorkers.add(it.worker) }
         return true
     }
 
-    /** Makes a part count as leaving while further rooms of the same reservation are chosen. */
+    /** Makes a part count as stopping while further workers of the same reservation are chosen. */
     private fun markStopping(part: RunningPart) {
         part.preemptedAtMs = clock()
         part.worker.stopping += part.allocation
@@ -155,13 +155,13 @@
         const val WORKERS_PER_PART = 4
         const val MIN_WORKERS = 8
 
-        /** Longer than a checkpoint (2 s) and its repetition (after 3 s). */
+        /** Longer than a checkpoint (2 s) and its retry (after 3 s). */
         const val RECHECK_AFTER_MS = 4_000L
 
-        /** One reservation of an urgent flood serves one part in 2 s, which takes next to nothing from other kinds. */
+        /** A reservation of an urgent burst serves one part in 2 s, which takes next to nothing from other kinds. */
         const val MAX_TIME_CRITICAL_ABOVE_SHARE = 2
 
-        /** Bounds the wait behind work whose declared end is far away; batch work that is still there has to leave. */
+        /** Bounds the wait behind work whose declared end is far away; batch work that still runs then is preempted. */
         const val MAX_WAIT_MS = 600_000L
     }
 }
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/ReservationRegistry.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/ReservationRegistry.kt
@@ -1,4 +1,4 @@
-/** All reservations with the room that they keep. */
+/** All reservations and the capacity that they reserve. */
 package dev.bronzeshore.placement
 
 import dev.bronzeshore.core.Resources
@@ -9,7 +9,7 @@
         TreeSet(compareBy<Reservation> { it.nextCheckMs }.thenBy { it.sequence })
     private var nextSequence = 0L
 
-    /** Opens a reservation without any room; see [keep]. */
+    /** Creates a reservation without capacity; [reserve] adds it. */
     fun create(
         job: JobEntry,
         purpose: ReservationPurpose,
@@ -54,7 +54,7 @@
         queue.retryAtLimit(job.kindQueue.plan)
     }
 
-    /** Reservations whose next check has come. */
+    /** Reservations whose next check is due. */
     fun due(nowMs: Long): List<Reservation> {
         if (byCheck.isEmpty() || byCheck.first().nextCheckMs > nowMs) return emptyList()
         return byCheck.takeWhile { it.nextCheckMs <= nowMs }
@@ -66,7 +66,7 @@
         byCheck.add(reservation)
     }
 
-    /** After [plan] uses less: lets reservations that waited for its limit be served. */
+    /** Lets reservations that wait for the limit of [plan] be served after its usage went down. */
     fun retryAtLimit(plan: PlanState) {
         for (reservation in plan.reservations) {
             if (!isCapacityFree(reservation) || !plan.allows(reservation.job.item.size)) continue
@@ -74,24 +74,24 @@
         }
     }
 
-    /** Drops all reservations that keep room on [room], after the worker stopped accepting work. */
+    /** Removes all reservations with capacity on [worker], which no longer accepts work. */
     fun removeAllOn(worker: WorkerState): Unit =
         worker.reservations.map { it.reservation }.distinct().forEach { remove(it) }
 
     fun removeAllOf(job: JobEntry): Unit = job.reservations.toList().forEach { remove(it) }
 
-    /** Drops reservations beyond what the pending parts of [job] still need, youngest first. */
+    /** Removes reservations that the pending parts of [job] no longer need, newest first. */
     fun trim(job: JobEntry) {
         if (job.isGang && job.pending.isNotEmpty()) return
         while (job.reservations.size > job.pending.size) remove(job.reservations.last())
     }
 
-    /** True if all the kept room is free now, not counting room that older reservations wait for. */
+    /** True if all reserved capacity is free now, excluding capacity of older reservations. */
     fun isCapacityFree(reservation: Reservation): Boolean = reservation.workerReservations.all { workerReservation ->
         workerReservation.worker.accepting && workerReservation.size.fitsIn(availableTo(workerReservation))
     }
 
-    /** Room on the worker of [hold] that is free and not kept by older holds. */
+    /** Unallocated capacity on the worker of [workerReservation] that no older reservation has. */
     fun availableTo(workerReservation: WorkerReservation): Resources {
         var available = workerReservation.worker.unallocated
         for (other in workerReservation.worker.reservations) {
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/RoundPlanner.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/RoundPlanner.kt
@@ -1,4 +1,4 @@
-/** Tries the queues of one round in order and places what fits. */
+/** Tries the queues in priority order and places what fits in one round. */
 package dev.bronzeshore.placement
 
 import dev.bronzeshore.core.ClockMs
@@ -14,10 +14,10 @@
     private val planner: ReservationPlanner,
     private val backfill: BackfillPlanner,
 ) {
-    /** Queues found to fit a worker but not under their plan's limit; see [mayStart]. */
+    /** Queues that fit a worker but not under their plan's limit; see [mayStart]. */
     private val overLimit: ArrayList<ShapeQueue> = ArrayList()
 
-    /** Decides at most [limit] placements, except that a gang larger than [limit] starts alone in a round. */
+    /** Makes at most [limit] placements, except that a gang larger than [limit] starts alone in a round. */
     fun placeUpTo(limit: Int): List<Placement> {
         starter.beginRound(limit)
         var passes = 0
@@ -30,11 +30,11 @@
         return starter.placements.toList()
     }
 
-    /** Serves [reservation] in the coming round as if its room had just been freed. */
+    /** Lets the next round serve [reservation] as if its capacity had just been freed. */
     fun markForServing(reservation: Reservation): Unit =
         reservation.workerReservations.forEach { workers.freedWorkers.add(it.worker) }
 
-    /** Places the job of [reservation] if its room is free and the round has space for it. */
+    /** Places the job of [reservation] if its capacity is free and the limits of round and plan allow it. */
     private fun serve(reservation: Reservation) {
         val job = reservation.job
         val parts = if (job.isGang) job.pending.size else 1
@@ -49,7 +49,7 @@
         starter.start(job, job.pending.take(parts).zip(assigned, ::Assignment))
     }
 
-    /** Gives freed room first to the work it was kept for, then to what waits for room, in order. */
+    /** Gives freed capacity first to the work it was reserved for, then to blocked work in priority order. */
     private fun fillFreedWorkers() {
         while (workers.freedWorkers.isNotEmpty() && !starter.isFull) {
             val worker = workers.freedWorkers.first()
@@ -70,7 +70,7 @@
         }
     }
 
-    /** Returns the first queue in order that could start on [room]: waiting ones fit nowhere else. */
+    /** Returns the first queue in priority order that could start on [worker]; blocked queues fit nowhere else. */
     private fun firstFor(worker: WorkerState): ShapeQueue? {
         val nowMs = clock()
         val free = worker.free
@@ -87,7 +87,7 @@
         return first
     }
 
-    /** A queue whose room is there but whose plan is at its limit has to wait for the limit from now on. */
+    /** A queue that fits but whose plan is at its limit waits for the limit from now on. */
     private fun mayStart(blocked: ShapeQueue): Boolean {
         val gangParts = blocked.shape.gangParts
         if (gangParts > 0 && !workers.fitTogether(blocked.shape.size, gangParts)) return false
@@ -102,7 +102,7 @@
         reservations.trim(job)
     }
 
-    /** Looks again at what waits for the limit of plans that use less now. */
+    /** Retries queues that wait for the limit of plans whose usage or reservations went down. */
     private fun retryFreedPlans() {
         while (queue.freedPlans.isNotEmpty() && !starter.isFull) {
             val plan = queue.freedPlans.first()
@@ -176,7 +176,7 @@
         queue.block(next, state)
     }
 
-    /** Keeps room for each of the first pressing parts, so that a burst of them does not start one by one. */
+    /** Reserves capacity for several time-critical parts at once, so that a burst of them does not start one by one. */
     fun reserveForTimeCritical(next: ShapeQueue) {
         var left = MAX_NEW_RESERVATIONS
         for (job in next.jobs.take(MAX_RESERVED_JOBS)) {
@@ -189,10 +189,10 @@
     }
 
     private companion object {
-        /** Room given back during a round lets another pass start; what is left waits for the next round. */
+        /** Capacity freed during a round causes another pass; what is left waits for the next round. */
         const val MAX_PASSES = 4
 
-        /** Bounds the time of one round in a flood of urgent work; the review goes on every 100 ms. */
+        /** Bounds the time of one round in a burst of urgent work; BlockedWorkPlanner continues every 100 ms. */
         const val MAX_NEW_RESERVATIONS = 16
         const val MAX_RESERVED_JOBS = 256
     }
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/ShapeQueue.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/ShapeQueue.kt
@@ -1,4 +1,4 @@
-/** Pending jobs of one kind that ask for the same: either the first of them can be placed, or none can. */
+/** Pending jobs of one kind with equal resource requests: either the first of them can be placed, or none can. */
 package dev.bronzeshore.placement
 
 import dev.bronzeshore.core.Policy
@@ -6,22 +6,22 @@
 import dev.bronzeshore.core.Urgency
 import java.util.TreeSet
 
-/** What makes two pending jobs interchangeable for the fit check; [gangParts] is 0 unless all parts start at once. */
+/** Jobs of equal shape are interchangeable for the fit check; [gangParts] is 0 unless all parts start at once. */
 internal data class Shape(val urgency: Urgency, val size: Resources, val gangParts: Int)
 
-/** Why a queue of equal jobs is not tried. */
+/** Whether a queue may be tried, or why it is blocked. */
 internal enum class QueueState { EMPTY, READY, WAITS_FOR_ROOM, WAITS_FOR_LIMIT }
 
-/** [sizeClass] grows with the size; patient batch work of about the same age goes large before small. */
+/** [sizeClass] grows with the size; patient batch work of about the same age is ordered large before small. */
 internal class ShapeQueue(val kindQueue: KindQueue, val shape: Shape, private val sizeClass: Int) :
     Comparable<ShapeQueue> {
     val jobs: TreeSet<JobEntry> = TreeSet()
     var state: QueueState = QueueState.EMPTY
 
-    /** No job in the queue declares a shorter run; lets backfill skip the queue without a look at its jobs. */
+    /** Lower bound of the declared run times in the queue; lets backfill skip it without checking its jobs. */
     var shortestRunMs: Long = Long.MAX_VALUE
 
-    /** Room that has to be free at once: all parts of a gang, or one part. */
+    /** Capacity that has to be free at once: for all parts of a gang, or for one part. */
     val demand: Resources = if (shape.gangParts > 0) shape.size * shape.gangParts else shape.size
 
     val rank: Int = if (kindQueue.kind.policy == Policy.IMPORTANT) 0 else shape.urgency.ordinal
@@ -44,7 +44,7 @@
     }
 
     private companion object {
-        /** Small patient jobs wait behind large ones of the same window only, so none is passed for ever. */
+        /** Small patient jobs wait behind large ones of the same window only, so that they do not starve. */
         const val SIZE_ORDER_WINDOW_MS = 60_000L
     }
 }
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/StartDeadlines.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/StartDeadlines.kt
@@ -1,4 +1,4 @@
-/** Latest starts of queued jobs, in order of time. */
+/** Queued jobs ordered by their latest start. */
 package dev.bronzeshore.placement
 
 import java.util.TreeSet
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/UsageEstimator.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/UsageEstimator.kt
@@ -1,18 +1,17 @@
-/** Learns from usage reports what a running part needs. */
+/** Estimates from usage reports what a running part needs. */
 package dev.bronzeshore.placement
 
 import dev.bronzeshore.core.Policy
 import dev.bronzeshore.core.Resources
 
 /**
- * The rule:
+ * Allocation rules:
  *
- * * Until [MIN_REPORTS] reports came in, a part is charged its declared size, or what it was seen to use if that is
- *   more.
- * * After that, a batch part is charged the processors of its highest seen use plus a quarter plus 100 millicores,
- *   but no more than the larger of its declared size and its seen use.
- * * Memory is never charged below the declared size, because a worker that runs out of memory cannot slow a part
- *   down. Accelerators are always charged as declared.
+ * * Until [MIN_REPORTS] reports have arrived, a part is allocated its declared size, or its peak usage if that is more.
+ * * After that, a batch part is allocated the processors of its peak usage plus a quarter plus 100 millicores, but no
+ *   more than the larger of its declared size and its peak usage.
+ * * The memory allocation is never below the declared size, because a worker that runs out of memory cannot throttle a
+ *   part. Accelerators are always allocated as declared.
  */
 internal object UsageEstimator {
     const val MIN_REPORTS: Int = 5
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/UsageTracker.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/UsageTracker.kt
@@ -1,4 +1,4 @@
-/** Applies usage reports: charges follow the estimates, and an overused worker loses its least urgent work. */
+/** Applies usage reports: adjusts allocations and preempts the least urgent work of overloaded workers. */
 package dev.bronzeshore.placement
 
 import dev.bronzeshore.core.Resources
@@ -15,7 +15,7 @@
         preemptIfOverloaded(worker)
     }
 
-    /** Tells the least urgent parts of an overcharged worker to leave when the seen use is near its capacity. */
+    /** Preempts the least urgent parts of an over-allocated worker whose reported usage is near its capacity. */
     private fun preemptIfOverloaded(worker: WorkerState) {
         if (worker.capacity == Resources.NONE || worker.allocated.fitsIn(worker.capacity)) return
         if (isBelowThreshold(worker.reportedUsage, worker.capacity)) return
@@ -35,7 +35,7 @@
     private companion object {
         const val PERCENT = 100
 
-        /** Reports lag by a few seconds; the rest is room for what grows in the meantime. */
+        /** Reports lag by a few seconds; the rest is headroom for growth in the meantime. */
         const val OVERLOAD_PERCENT = 95
     }
 }
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/WaitReason.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/WaitReason.kt
@@ -1,20 +1,18 @@
-/** Says in one sentence what a queued job waits for. */
+/** Describes in one sentence what a queued job waits for. */
 package dev.bronzeshore.placement
 
 internal object WaitReason {
     fun of(job: JobEntry): String? {
         val queue = job.shapeQueue ?: return null
         val size = queue.demand
-        val kept = job.reservations.firstOrNull()
+        val reservation = job.reservations.firstOrNull()
         val head = queue.jobs.first()
         return when {
             queue.state == QueueState.WAITS_FOR_LIMIT ->
                 "Waits until plan ${queue.kindQueue.plan.name} uses less of its allowance."
-            kept != null ->
-                "Room is kept on ${kept.workerReservations.joinToString {
-                    it.worker.workerId
-                }} and expected to be free at " +
-                    "${kept.startAtMs} ms."
+            reservation != null ->
+                "Capacity is reserved on ${reservation.workerReservations.joinToString { it.worker.workerId }} and " +
+                    "expected to be free at ${reservation.startAtMs} ms."
             queue.state == QueueState.WAITS_FOR_ROOM && head === job ->
                 "Waits for ${size.processorsMillicores} millicores, ${size.memoryBytes} bytes of memory and " +
                     "${size.accelerators} accelerators to become free."
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/WorkQueue.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/WorkQueue.kt
@@ -1,4 +1,4 @@
-/** All pending work: which queues may be tried, and which wait for room or for their plan's limit. */
+/** All pending work: which queues may be tried, and which wait for free capacity or for their plan's limit. */
 package dev.bronzeshore.placement
 
 import dev.bronzeshore.core.Resources
@@ -8,10 +8,10 @@
     /** Kinds with at least one ready queue. */
     val readyKinds: LinkedHashSet<KindQueue> = LinkedHashSet()
 
-    /** Kinds with at least one queue that waits for room or for the limit of its plan. */
+    /** Kinds with at least one queue that waits for free capacity or for the limit of its plan. */
     val blockedKinds: LinkedHashSet<KindQueue> = LinkedHashSet()
 
-    /** Plans that use or keep less than when the queue last looked at them. */
+    /** Plans whose usage or reservations went down since their blocked queues were last tried. */
     val freedPlans: LinkedHashSet<PlanState> = LinkedHashSet()
 
     fun add(job: JobEntry) {
@@ -19,7 +19,7 @@
         val gangParts = if (job.isGang) job.pending.size else 0
         val shape = Shape(job.item.urgency, job.item.size, gangParts)
         val queue = job.kindQueue.shapes.getOrPut(shape) { ShapeQueue(job.kindQueue, shape, sizeClassOf(shape.size)) }
-        // The order of a queue follows its first job, so it is taken out of the sorted sets while that may change.
+        // The order of a queue depends on its first job, so it leaves the sorted sets while that may change.
         val state = queue.state
         unlink(queue)
         queue.jobs.add(job)
@@ -42,7 +42,7 @@
         link(queue, state)
     }
 
-    /** Records that [plan] may start more, so that the next round looks at what waits for its limit. */
+    /** Makes the next round retry the queues that wait for the limit of [plan]. */
     fun retryAtLimit(plan: PlanState) {
         freedPlans.add(plan)
     }
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/WorkerIndex.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/WorkerIndex.kt
@@ -1,9 +1,9 @@
-/** Free room of a group of workers, indexed by processors and by memory. */
+/** Free capacity of a group of workers, indexed by processors and by memory. */
 package dev.bronzeshore.placement
 
 import dev.bronzeshore.core.Resources
 
-/** Workers with and without accelerators form separate pools, so that plain work leaves accelerators alone. */
+/** Workers with and without accelerators have separate indexes, so that other work avoids accelerators. */
 internal class WorkerIndex(private val workerAt: (slot: Int) -> WorkerState) {
     private val byProcessors = FreeCapacityIndex { it.processorsMillicores }
     private val byMemory = FreeCapacityIndex { it.memoryBytes }
@@ -20,7 +20,7 @@
         byMemory.remove(worker.slot)
     }
 
-    /** Returns the best candidate for [size] by [scoreOf] (lowest wins), or null if no worker has the room. */
+    /** Returns the best candidate for [size] by [scoreOf] (lowest wins), or null if no worker fits. */
     fun bestFit(size: Resources, scoreOf: (WorkerState) -> Long): WorkerState? {
         if (byProcessors.cannotFit(size)) return null
         var best: WorkerState? = null
@@ -35,20 +35,20 @@
                     bestScore = score
                 }
             }
-            // Both indexes hold the same workers: a query that was not cut short has seen them all.
+            // Both indexes hold the same workers: a query that did not fill the array has found them all.
             if (count < candidates.size) break
         }
         return best
     }
 
-    /** Counts how many parts of [size] fit, up to [wanted]. */
-    fun countFitting(size: Resources, wanted: Int): Int {
-        val slots = IntArray(wanted)
+    /** Counts how many parts of [size] fit, up to [maxParts]. */
+    fun countFitting(size: Resources, maxParts: Int): Int {
+        val slots = IntArray(maxParts)
         val found = byProcessors.collectFitting(size, slots)
-        if (found == wanted) return wanted
+        if (found == maxParts) return maxParts
         var parts = 0L
         for (at in 0 until found) parts += size.timesFittingIn(workerAt(slots[at]).free)
-        return minOf(parts, wanted.toLong()).toInt()
+        return minOf(parts, maxParts.toLong()).toInt()
     }
 
     /** Returns up to [count] workers with the most free processors. */
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/WorkerRegistry.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/WorkerRegistry.kt
@@ -1,4 +1,4 @@
-/** All workers of the data centre with their room. */
+/** All workers of the data centre and their free capacity. */
 package dev.bronzeshore.placement
 
 import dev.bronzeshore.core.PlacementWorker
@@ -15,14 +15,14 @@
     private val reservedWorkers = FreeCapacityIndex { it.processorsMillicores }
     private val slots = IntArray(MAX_RECLAIM_CANDIDATES)
 
-    /** Workers with more free room than when the queue last looked at them. */
+    /** Workers whose free capacity has grown since blocked work was last tried on them. */
     val freedWorkers: LinkedHashSet<WorkerState> = LinkedHashSet()
 
-    /** Sum over all workers of the fleet. */
+    /** Total capacity of all workers in the fleet. */
     val totalCapacity: Resources
         get() = fleet.total
 
-    /** Returns true if the fleet lost capacity, so that queued jobs may have become impossible. */
+    /** Adds or updates a worker; returns true if its capacity shrank, so that queued jobs may no longer fit. */
     fun put(worker: PlacementWorker): Boolean {
         val state = findOrCreate(worker.workerId)
         val shrank = !state.capacity.fitsIn(worker.capacity)
@@ -37,7 +37,7 @@
         return shrank
     }
 
-    /** Takes the worker out of the fleet; its parts stay charged until their end is reported. */
+    /** Removes the worker from the fleet; its parts stay allocated until their end is reported. */
     fun remove(workerId: String): WorkerState? {
         val worker = byId[workerId] ?: return null
         fleet.change(worker.capacity, -1)
@@ -78,7 +78,7 @@
         removeIfUnused(worker)
     }
 
-    /** Replaces what [running] takes, after its estimate changed. */
+    /** Changes the allocation of [running] after its estimate changed. */
     fun updateAllocation(running: RunningPart, allocation: Resources) {
         val worker = running.worker
         val change = allocation - running.allocation
@@ -89,7 +89,7 @@
         refresh(worker)
     }
 
-    /** Brings the indexes up to date after the room of a worker changed. */
+    /** Updates the indexes after the free capacity of a worker changed. */
     fun refresh(worker: WorkerState) {
         if (!worker.accepting) return removeFromIndexes(worker)
         val free = worker.free
@@ -106,7 +106,7 @@
         worker.indexedFree = free
     }
 
-    /** Returns the accepting worker with the lowest score that has [size] free, or null. */
+    /** Returns the accepting worker with the lowest score that fits [size], or null. */
     fun bestFit(size: Resources, scoreOf: (WorkerState) -> Long): WorkerState? {
         if (size.accelerators == 0L) plain.bestFit(size, scoreOf)?.let { return it }
         return accelerated.bestFit(size, scoreOf)
@@ -118,13 +118,13 @@
         return onPlain == parts || onPlain + accelerated.countFitting(size, parts - onPlain) == parts
     }
 
-    /** Workers where [size] is free once all parts that may be asked to leave have left; least room first. */
+    /** Workers that fit [size] once all parts that urgent work may preempt have ended; least capacity first. */
     fun reclaimableFor(size: Resources): List<WorkerState> {
         val found = reclaimable.collectFitting(size, slots)
         return List(found) { bySlot[slots[it]] }
     }
 
-    /** Workers with reservations where running parts leave room for [size]. */
+    /** Workers with reservations whose unallocated capacity fits [size]. */
     fun reservedWorkersFor(size: Resources): List<WorkerState> {
         val found = reservedWorkers.collectFitting(size, slots)
         return List(found) { bySlot[slots[it]] }
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/WorkerState.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/WorkerState.kt
@@ -1,33 +1,33 @@
-/** What one worker holds and what is taken from it. */
+/** Capacity of one worker and what is allocated of it. */
 package dev.bronzeshore.placement
 
 import dev.bronzeshore.core.Resources
 
-/** Mutable room of one worker; [slot] is its position in the indexes. */
+/** Capacity accounting of one worker; [slot] is its position in the indexes. */
 internal class WorkerState(val workerId: String, val slot: Int) {
     var rack: String = ""
     var capacity: Resources = Resources.NONE
     var accepting: Boolean = false
 
-    /** True once the worker left the fleet while parts still had to be accounted for. */
+    /** True if the worker has left the fleet; the entry remains while parts are still allocated. */
     var removed: Boolean = false
 
-    /** Sum of the charges of all parts on this worker. */
+    /** Sum of the allocations of all parts on this worker. */
     var allocated: Resources = Resources.NONE
 
-    /** Room kept for work that is not placed yet. */
+    /** Capacity reserved for work that is not placed yet. */
     var reserved: Resources = Resources.NONE
 
-    /** Sum of the charges of parts that may be asked to leave or are leaving. */
+    /** Sum of the allocations of parts that urgent work may preempt, including those being preempted. */
     var preemptible: Resources = Resources.NONE
 
-    /** Sum of the charges of parts that were told to leave. */
+    /** Sum of the allocations of parts that are being preempted. */
     var stopping: Resources = Resources.NONE
 
-    /** Sum of the most recent reported use. */
+    /** Sum of the most recently reported usage of all parts. */
     var reportedUsage: Resources = Resources.NONE
 
-    /** Free room at the last update of the indexes. */
+    /** Free capacity at the last update of the indexes. */
     var indexedFree: Resources = Resources.NONE
 
     val parts: LinkedHashSet<RunningPart> = LinkedHashSet()
@@ -35,11 +35,11 @@
     /** Reservations on this worker, oldest first. */
     val reservations: ArrayList<WorkerReservation> = ArrayList()
 
-    /** Room that running parts leave; negative where capacity shrank or estimates rose. */
+    /** Capacity not allocated to running parts; negative where capacity shrank or estimates rose. */
     val unallocated: Resources
         get() = capacity - allocated
 
-    /** Room that any work may take. */
+    /** Capacity that is neither allocated nor reserved. */
     val free: Resources
         get() = capacity - allocated - reserved
 }
--- a/placement/src/test/kotlin/dev/bronzeshore/placement/Fixtures.kt
+++ b/placement/src/test/kotlin/dev/bronzeshore/placement/Fixtures.kt
@@ -1,4 +1,4 @@
-/** Small inputs shared by the tests of this module. */
+/** Test inputs shared by the tests of this module. */
 package dev.bronzeshore.placement
 
 import dev.bronzeshore.core.Allowance
@@ -34,7 +34,7 @@
     startBeforeMs: Long? = null,
 ): WorkItem = WorkItem(id, "p", kind, urgency, size, parts, false, 1_000_000, startBeforeMs, 60_000)
 
-/** An engine with workers of 8 cores named w0, w1, ... and an allowance for plan p. */
+/** An engine with workers w0, w1, ... of 8 cores each and allowances for the plans p and q. */
 internal fun engine(clock: FakeClock = FakeClock(), workers: Int = 2): PlacementEngine {
     val engine = PlacementEngine({ clock.nowMs })
     repeat(workers) { engine.putWorker(worker("w$it")) }
--- a/placement/src/test/kotlin/dev/bronzeshore/placement/PlacementEngineTest.kt
+++ b/placement/src/test/kotlin/dev/bronzeshore/placement/PlacementEngineTest.kt
@@ -18,9 +18,9 @@
 
     private class RefusalCase(val name: String, val item: WorkItem, val code: ResultCode?)
 
-    /** Guards against impossible jobs that would sit in a queue for ever, and against refusing possible ones. */
+    /** Guards against jobs that can never start and stay queued forever, and against refusing jobs that can start. */
     @TestFactory
-    fun `impossible jobs are refused at once`(): List<DynamicTest> = listOf(
+    fun `jobs that can never start are refused at once`(): List<DynamicTest> = listOf(
         RefusalCase("fits", job("a", cores(8)), null),
         RefusalCase("too many processors", job("a", cores(9, 1)), ResultCode.FITS_NOWHERE),
         RefusalCase("too much memory", job("a", cores(1, 9)), ResultCode.FITS_NOWHERE),
@@ -32,9 +32,9 @@
         RefusalCase("deadline now", job("a", startBeforeMs = clock.nowMs), null),
     ).map { dynamicTest(it.name) { assertEquals(it.code, engine(clock).submit(it.item).leftOrNull()?.code) } }
 
-    /** Guards against a gang that holds some workers while it waits for others. */
+    /** Guards against a gang that occupies some workers while it waits for others. */
     @Test
-    fun `a gang starts whole or not at all`() {
+    fun `a gang starts as a whole or not at all`() {
         val engine = engine(clock)
         engine.submit(job("filler", cores(6)))
         engine.decide(10)
@@ -45,7 +45,7 @@
         assertEquals(4, engine.decide(10).placements.count { it.jobId == "g" })
     }
 
-    /** Guards against a plan that grows over its hard limit through separate rounds. */
+    /** Guards against a plan that exceeds its hard limit over several rounds. */
     @Test
     fun `a plan stays within its limit`() {
         val engine = engine(clock)
@@ -58,7 +58,7 @@
         assertEquals(1, engine.decide(10).placements.size)
     }
 
-    /** Guards against work that is sent after its latest start. */
+    /** Guards against work that starts after its latest start. */
     @Test
     fun `queued work whose deadline passes is refused`() {
         val engine = engine(clock, workers = 1)
@@ -71,7 +71,7 @@
         assertNull(engine.waitReason("b"))
     }
 
-    /** Guards against a cancelled job that starts, and against losing the room of its running parts. */
+    /** Guards against starting a cancelled job, and against allocating the capacity of its running parts twice. */
     @Test
     fun `cancel removes pending parts and keeps running ones`() {
         val engine = engine(clock, workers = 1)
@@ -85,9 +85,9 @@
         assertEquals(listOf(Placement("b", 0, "w0")), engine.decide(10).placements)
     }
 
-    /** Guards against a new owner that starts a second copy of a part that it was told is running. */
+    /** Guards against a new owner that starts a part again although a worker reported that it is running. */
     @Test
-    fun `an adopted part takes room and is not started again`() {
+    fun `an adopted part occupies capacity and is not started again`() {
         val engine = engine(clock, workers = 1)
         val item = job("a", cores(5), parts = 1)
         engine.submit(item)
@@ -96,9 +96,9 @@
         assertTrue(engine.decide(10).placements.isEmpty())
     }
 
-    /** Guards against jobs that wait for ever after the only worker that fits them has left. */
+    /** Guards against jobs that wait forever after the only worker that fits them was removed. */
     @Test
-    fun `jobs that become impossible are refused`() {
+    fun `queued jobs that can no longer start are refused`() {
         val engine = engine(clock, workers = 1)
         engine.putWorker(worker("big", cores(16), accepting = false))
         engine.submit(job("a", cores(12)))
@@ -107,7 +107,7 @@
         assertEquals(ResultCode.FITS_NOWHERE, engine.decide(10).refusals.single().fault.code)
     }
 
-    /** Guards against a lost part: what ended early for another reason has to run again. */
+    /** Guards against losing a part that ended early, such as by preemption, and has to run again. */
     @Test
     fun `a requeued part is placed again`() {
         val engine = engine(clock, workers = 1)
--- a/placement/src/test/kotlin/dev/bronzeshore/placement/PolicyTest.kt
+++ b/placement/src/test/kotlin/dev/bronzeshore/placement/PolicyTest.kt
@@ -18,7 +18,7 @@
 
     private val workerOf = HashMap<String, String>()
 
-    /** Runs a round and notes where each part was placed. */
+    /** Advances the clock, runs a round and records where each part was placed. */
     private fun PlacementEngine.step(ms: Long = 100): Decisions {
         clock.nowMs += ms
         val decisions = decide(100)
@@ -30,27 +30,27 @@
         partEnded(jobId, part, workerOf.getValue("$jobId/$part"), requeue)
     }
 
-    /** Guards against urgent work that waits for long tasks, and against freed room that goes to somebody else. */
+    /** Guards against urgent work that waits for long tasks, and against freed capacity that goes to other work. */
     @Test
-    fun `urgent work takes the room of patient work and keeps it until placed`() {
+    fun `urgent work preempts patient work and gets the freed capacity`() {
         val engine = engine(clock, workers = 1)
         engine.submit(job("patient", cores(8), urgency = Urgency.PATIENT))
         engine.decide(10)
         clock.nowMs += 1
         engine.submit(job("urgent", cores(4), urgency = Urgency.URGENT))
         assertEquals(listOf(Preemption("patient", 0, "w0", TaskAction.CHECKPOINT)), engine.decide(10).preemptions)
-        engine.submit(job("thief", cores(8)))
+        engine.submit(job("competitor", cores(8)))
         engine.partEnded("patient", 0, "w0", requeue = true)
         assertEquals(listOf(Placement("urgent", 0, "w0")), engine.decide(10).placements)
     }
 
-    private class OrderCase(val name: String, val isIdempotent: Boolean, val second: TaskAction)
+    private class RetryCase(val name: String, val isIdempotent: Boolean, val retryAction: TaskAction)
 
-    /** Guards against urgent work that waits for ever after an order was lost, and against running work twice. */
+    /** Guards against urgent work that waits forever after a preemption was lost, and against running work twice. */
     @TestFactory
-    fun `an order without effect is repeated`(): List<DynamicTest> = listOf(
-        OrderCase("may run twice", true, TaskAction.STOP),
-        OrderCase("may not run twice", false, TaskAction.CHECKPOINT),
+    fun `a preemption without effect is repeated`(): List<DynamicTest> = listOf(
+        RetryCase("idempotent", true, TaskAction.STOP),
+        RetryCase("not idempotent", false, TaskAction.CHECKPOINT),
     ).map { case ->
         dynamicTest(case.name) {
             val engine = PlacementEngine({ clock.nowMs }, isIdempotent = { case.isIdempotent })
@@ -62,34 +62,34 @@
             engine.submit(job("urgent", cores(4), urgency = Urgency.URGENT))
             assertEquals(TaskAction.CHECKPOINT, engine.decide(10).preemptions.single().action)
             assertTrue(engine.step(2_900).preemptions.isEmpty())
-            assertEquals(case.second, engine.step(100).preemptions.single().action)
+            assertEquals(case.retryAction, engine.step(100).preemptions.single().action)
         }
     }
 
-    /** Guards against a part that is stopped again and again and never ends. */
+    /** Guards against a part that is preempted so often that it never ends. */
     @Test
-    fun `a part is disturbed at most twice an hour`() {
+    fun `a part is preempted at most twice an hour`() {
         val engine = engine(clock, workers = 1)
         engine.submit(job("patient", cores(8), urgency = Urgency.PATIENT))
-        var disturbances = 0
+        var preemptionCount = 0
         repeat(5) { round ->
             engine.step()
             engine.submit(job("urgent$round", cores(8), urgency = Urgency.URGENT))
-            val orders = engine.step().preemptions
-            disturbances += orders.size
-            orders.forEach { engine.partEnded(it.jobId, it.part, it.workerId, requeue = true) }
+            val preemptions = engine.step().preemptions
+            preemptionCount += preemptions.size
+            preemptions.forEach { engine.partEnded(it.jobId, it.part, it.workerId, requeue = true) }
             engine.step()
             engine.partEnded("urgent$round", 0, "w0", requeue = false)
             engine.cancel("urgent$round")
         }
-        assertEquals(2, disturbances)
+        assertEquals(2, preemptionCount)
         engine.submit(job("late", cores(8), urgency = Urgency.URGENT))
         assertEquals(0, engine.step().preemptions.size)
     }
 
-    /** Guards against important work that misses its latest start behind work that is not. */
+    /** Guards against important work that misses its latest start behind other work. */
     @Test
-    fun `important work close to its latest start takes room`() {
+    fun `important work close to its latest start preempts other work`() {
         val engine = engine(clock, workers = 1)
         engine.submit(job("other", cores(8)))
         engine.decide(10)
@@ -102,9 +102,9 @@
         assertEquals("render", engine.step().placements.single().jobId)
     }
 
-    /** Guards against a gang that waits without bound while small work fills each room that becomes free. */
+    /** Guards against a gang that starves because small work takes all capacity that becomes free. */
     @Test
-    fun `a blocked gang gets room although small work keeps coming`() {
+    fun `a blocked gang starts although small work keeps arriving`() {
         val engine = engine(clock, workers = 2)
         engine.submit(job("filler", cores(1), parts = 16))
         engine.step(1)
@@ -119,9 +119,9 @@
         assertEquals(listOf("g", "g"), placed.map { it.jobId })
     }
 
-    /** Guards against backfill that delays a reserved gang, and against rooms that stay empty until it starts. */
+    /** Guards against backfill that delays a reserved gang, and against reserved capacity that idles until it starts. */
     @Test
-    fun `backfill runs in kept room only if its declared end comes first, and leaves then`() {
+    fun `backfill runs in reserved capacity only until the reservation starts`() {
         val engine = engine(clock, workers = 2)
         engine.submit(job("a", cores(8)).copy(declaredRunMs = 20_000))
         engine.submit(job("b", cores(4)).copy(declaredRunMs = 50_000))
@@ -140,7 +140,7 @@
         assertEquals(listOf("g", "g"), engine.decide(10).placements.map { it.jobId })
     }
 
-    /** Guards against two gangs of different plans that each keep what the other needs. */
+    /** Guards against a deadlock of two gangs of different plans that each reserve what the other needs. */
     @Test
     fun `two blocked gangs start one after the other`() {
         val engine = engine(clock, workers = 2)
@@ -158,9 +158,9 @@
         assertEquals(setOf("g1", "g2"), (first + engine.step().placements).map { it.jobId }.toSet())
     }
 
-    /** Guards against a plan that gets nothing because another one filled the cell before it. */
+    /** Guards against a plan that gets nothing because another one filled the data centre before it. */
     @Test
-    fun `a plan below its share goes first and gets lent room back`() {
+    fun `a plan below its share is served first and preempts borrowers`() {
         val engine = engine(clock, workers = 2)
         engine.submit(job("borrower", cores(1), parts = 100).copy(declaredRunMs = 3_600_000))
         engine.decide(100)
@@ -171,9 +171,9 @@
         assertEquals(listOf("entitled", "entitled"), engine.step().placements.map { it.jobId })
     }
 
-    /** Guards against a job that was passed over for its plan's limit and not tried again when the limit allows it. */
+    /** Guards against a job that is skipped at its plan's limit and not tried again when the limit allows it. */
     @Test
-    fun `a job that waited for room and then for its limit starts`() {
+    fun `a job that waited for free capacity and then for its limit starts`() {
         val engine = engine(clock, workers = 2)
         engine.submit(job("a", cores(2)))
         engine.submit(job("x", cores(6)).copy(plan = "q"))
@@ -190,13 +190,13 @@
 
     private class UsageCase(val name: String, val reports: Int, val used: Resources, val placed: Int)
 
-    /** Guards against estimates from too few reports, and against memory that is given away twice. */
+    /** Guards against estimates from too few reports, and against memory that is allocated twice. */
     @TestFactory
     fun `usage reports lower the processors of batch parts only`(): List<DynamicTest> = listOf(
         UsageCase("few reports", 4, Resources(1_000, GIB), 0),
-        UsageCase("small use", 5, Resources(1_000, GIB), 1),
-        UsageCase("large use", 5, Resources(7_000, GIB), 0),
-        UsageCase("memory use above the declaration", 5, Resources(1_000, 8 * GIB), 0),
+        UsageCase("low usage", 5, Resources(1_000, GIB), 1),
+        UsageCase("high usage", 5, Resources(7_000, GIB), 0),
+        UsageCase("memory usage above the declared size", 5, Resources(1_000, 8 * GIB), 0),
     ).map { case ->
         dynamicTest(case.name) {
             val engine = engine(clock, workers = 1)
@@ -208,9 +208,9 @@
         }
     }
 
-    /** Guards against a worker that stays overloaded after an estimate turned out too low. */
+    /** Guards against a worker that stays overloaded after an estimate was too low. */
     @Test
-    fun `the least urgent part leaves when the seen use nears the capacity`() {
+    fun `the least urgent part is preempted when reported usage nears the capacity`() {
         val engine = engine(clock, workers = 1)
         engine.submit(job("a", cores(8, 2)))
         engine.decide(10)
--- a/placement/src/test/kotlin/dev/bronzeshore/placement/RandomRunTest.kt
+++ b/placement/src/test/kotlin/dev/bronzeshore/placement/RandomRunTest.kt
@@ -14,11 +14,11 @@
 /**
  * 20,000 random operations for each of six seeds: submissions, cancellations, ends, lost workers and rounds.
  *
- * Seeds 5 and 6 also report usage, so that charges differ from declared sizes; processors may then be given out
- * beyond the declared sizes, memory and accelerators may not.
+ * Seeds 5 and 6 also report usage, so that allocations differ from declared sizes: declared processors may then exceed
+ * the capacity of a worker, memory and accelerators may not.
  *
- * Guards against a worker over its capacity, a plan over its limit, a part that runs twice, a gang that starts in
- * pieces and a part that is disturbed more than twice an hour, whatever the order of events.
+ * Guards against a worker over its capacity, a plan over its limit, a part that runs twice, a gang that starts
+ * partially and a part that is preempted more than twice an hour, in any order of events.
  */
 class RandomRunTest {
     private class Run(val item: WorkItem, val part: Int, val workerId: String) {
@@ -31,7 +31,7 @@
     private val capacities = HashMap<String, Resources>()
     private val items = HashMap<String, WorkItem>()
     private val running = LinkedHashMap<Placed, Run>()
-    private val disturbed = HashMap<Placed, ArrayList<Long>>()
+    private val preempted = HashMap<Placed, ArrayList<Long>>()
     private val limits = mapOf("p" to cores(60), "q" to cores(40), "r" to cores(200))
 
     private data class Placed(val jobId: String, val part: Int)
@@ -45,14 +45,14 @@
         repeat(20) { putWorker(it, accepting = true, random) }
         repeat(OPERATIONS) { step ->
             clock.nowMs += random.nextLong(400)
-            act(step, random)
+            performOperation(step, random)
             if (random.nextInt(3) == 0) decide()
-            checkRoom()
+            checkLimits()
         }
-        assertTrue(startedGangs.size > 100 && disturbed.size > 100) { "the run has to disturb parts and start gangs" }
+        assertTrue(startedGangs.size > 100 && preempted.size > 100) { "the run has to preempt parts and start gangs" }
     }
 
-    private fun act(step: Int, random: Random) {
+    private fun performOperation(step: Int, random: Random) {
         when (random.nextInt(100)) {
             in 0..34 -> submit("j$step", random)
             in 35..84 -> running.keys.randomOrNull(random)?.let { end(it, requeue = random.nextInt(10) == 0) }
@@ -97,8 +97,8 @@
             val key = Placed(preemption.jobId, preemption.part)
             val run = running.getValue(key)
             assertEquals(preemption.workerId, run.workerId)
-            // An order that is repeated because the part did not end is the same disturbance.
-            if (!run.isStopping) disturbed.getOrPut(key) { ArrayList() }.add(clock.nowMs)
+            // A preemption that is repeated because the part did not end counts once.
+            if (!run.isStopping) preempted.getOrPut(key) { ArrayList() }.add(clock.nowMs)
             run.isStopping = true
         }
         for (placement in decisions.placements) {
@@ -142,7 +142,7 @@
         running.filterValues { it.workerId == id }.keys.toList().forEach { end(it, requeue = true) }
     }
 
-    private fun checkRoom() {
+    private fun checkLimits() {
         for ((workerId, runs) in running.values.groupBy { it.workerId }) {
             val sum = runs.fold(Resources.NONE) { sum, run -> sum + run.item.size }
             val counted = if (reports) sum.copy(processorsMillicores = 0) else sum
@@ -152,7 +152,7 @@
             val sum = runs.fold(Resources.NONE) { sum, run -> sum + run.item.size }
             assertTrue(sum.fitsIn(limits.getValue(plan))) { "$plan is over its limit" }
         }
-        disturbed.values.forEach { times ->
+        preempted.values.forEach { times ->
             assertTrue(times.none { first -> times.count { it >= first && it < first + 3_600_000 } > 2 })
         }
     }
