--- a/placement/src/main/kotlin/dev/bronzeshore/placement/ReservationPlanner.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/ReservationPlanner.kt
@@ -18,7 +18,7 @@
         if (!mayReserveTimeCritical(job, parts)) return false
         val freedBefore = workers.freedWorkers.toSet()
         val nowMs = clock()
-        val reservation = reservations.create(job, ReservationPurpose.URGENT, nowMs, nowMs + RECHECK_AFTER_MS)
+        val reservation = reservations.open(job, ReservationPurpose.URGENT, nowMs, nowMs + RECHECK_AFTER_MS)
         val victims = ArrayList<RunningPart>()
         for (part in 0 until parts) {
             val chosen = chooseWorker(job)
@@ -57,7 +57,7 @@
         val borrowers = shares.borrowers().filter { it !== job.kindQueue }
         val chosen = cheapest(job, preemptions.workersOfNewestParts(borrowers), rule) ?: return false
         val nowMs = clock()
-        val reservation = reservations.create(job, ReservationPurpose.SHARE, nowMs, nowMs + RECHECK_AFTER_MS)
+        val reservation = reservations.open(job, ReservationPurpose.SHARE, nowMs, nowMs + RECHECK_AFTER_MS)
         reservations.reserve(reservation, chosen.worker, 1)
         preemptions.preempt(chosen.victims)
         return true
@@ -133,7 +133,7 @@
         val chosen = candidates.flatMap { CapacityForecast.of(it, size, parts, nowMs) }.sortedBy { it.atMs }.take(parts)
         if (chosen.size < parts || chosen.last().atMs > latestMs) return false
         val startAtMs = minOf(chosen.last().atMs, nowMs + MAX_WAIT_MS)
-        val reservation = reservations.create(job, purpose, startAtMs)
+        val reservation = reservations.open(job, purpose, startAtMs)
         for ((worker, starts) in chosen.groupBy { it.worker }) reservations.reserve(reservation, worker, starts.size)
         // Capacity that is free already is used in this round, not at the next check.
         if (startAtMs <= nowMs) reservation.workerReservations.forEach { workers.freedWorkers.add(it.worker) }
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/ReservationRegistry.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/ReservationRegistry.kt
@@ -9,13 +9,8 @@
         TreeSet(compareBy<Reservation> { it.nextCheckMs }.thenBy { it.sequence })
     private var nextSequence = 0L
 
-    /** Creates a reservation without capacity; [reserve] adds it. */
-    fun create(
-        job: JobEntry,
-        purpose: ReservationPurpose,
-        startAtMs: Long,
-        nextCheckMs: Long = startAtMs,
-    ): Reservation {
+    /** Opens a reservation without capacity; [reserve] adds it. */
+    fun open(job: JobEntry, purpose: ReservationPurpose, startAtMs: Long, nextCheckMs: Long = startAtMs): Reservation {
         val reservation = Reservation(job, purpose, startAtMs, nextSequence++, nextCheckMs)
         byCheck.add(reservation)
         job.reservations.add(reservation)
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/RoundPlanner.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/RoundPlanner.kt
@@ -63,7 +63,7 @@
                 ) {
                     tryPlace(next)
                 } else {
-                    startOn(worker, next)
+                    start(worker, next)
                 }
             }
             backfill.fill(worker)
@@ -96,7 +96,7 @@
         return false
     }
 
-    private fun startOn(worker: WorkerState, next: ShapeQueue) {
+    private fun start(worker: WorkerState, next: ShapeQueue) {
         val job = next.jobs.first()
         starter.start(job, listOf(Assignment(job.pending.first(), worker)))
         reservations.trim(job)
@@ -141,31 +141,27 @@
     private fun tryPlace(next: ShapeQueue) {
         val job = next.jobs.first()
         val isAllowed = next.kindQueue.plan.allowsBesideReserved(next.demand, ownReserved(next))
-        if (!isAllowed) return blockQueue(next, QueueState.WAITS_FOR_LIMIT)
+        if (!isAllowed) return block(next, QueueState.WAITS_FOR_LIMIT)
         if (job.isGang) {
             if (!workers.fitTogether(
                     job.item.size,
                     job.pending.size,
                 )
             ) {
-                return blockQueue(next, QueueState.WAITS_FOR_ROOM)
+                return block(next, QueueState.WAITS_FOR_ROOM)
             }
             reservations.removeAllOf(job)
             starter.start(job, job.pending.map { Assignment(it, null) })
         } else {
             val part = job.pending.first()
             val worker = starter.bestWorker(job)
-            if (worker == null &&
-                !backfill.startOnReservedWorker(next)
-            ) {
-                return blockQueue(next, QueueState.WAITS_FOR_ROOM)
-            }
+            if (worker == null && !backfill.startOnReservedWorker(next)) return block(next, QueueState.WAITS_FOR_ROOM)
             if (worker != null) starter.start(job, listOf(Assignment(part, worker)))
             reservations.trim(job)
         }
     }
 
-    private fun blockQueue(next: ShapeQueue, state: QueueState) {
+    private fun block(next: ShapeQueue, state: QueueState) {
         val nowMs = clock()
         val head = next.jobs.first()
         if (head.isTimeCritical(nowMs)) {
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/WorkerRegistry.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/WorkerRegistry.kt
@@ -12,7 +12,9 @@
     private val plain = WorkerIndex { bySlot[it] }
     private val accelerated = WorkerIndex { bySlot[it] }
     private val reclaimable = FreeCapacityIndex { it.processorsMillicores }
-    private val reservedWorkers = FreeCapacityIndex { it.processorsMillicores }
+
+    /** Unallocated capacity of workers with reservations, which backfill may use. */
+    private val spare = FreeCapacityIndex { it.processorsMillicores }
     private val slots = IntArray(MAX_RECLAIM_CANDIDATES)
 
     /** Workers whose free capacity has grown since blocked work was last tried on them. */
@@ -96,11 +98,11 @@
         indexOf(worker).put(worker)
         reclaimable.put(worker.slot, free + worker.preemptible)
         if (worker.reservations.isEmpty()) {
-            reservedWorkers.remove(
+            spare.remove(
                 worker.slot,
             )
         } else {
-            reservedWorkers.put(worker.slot, worker.unallocated)
+            spare.put(worker.slot, worker.unallocated)
         }
         if (!free.fitsIn(worker.indexedFree)) freedWorkers.add(worker)
         worker.indexedFree = free
@@ -126,7 +128,7 @@
 
     /** Workers with reservations whose unallocated capacity fits [size]. */
     fun reservedWorkersFor(size: Resources): List<WorkerState> {
-        val found = reservedWorkers.collectFitting(size, slots)
+        val found = spare.collectFitting(size, slots)
         return List(found) { bySlot[slots[it]] }
     }
 
@@ -148,7 +150,7 @@
         plain.remove(worker)
         accelerated.remove(worker)
         reclaimable.remove(worker.slot)
-        reservedWorkers.remove(worker.slot)
+        spare.remove(worker.slot)
         freedWorkers.remove(worker)
         worker.indexedFree = Resources.NONE
     }
--- a/placement/src/test/kotlin/dev/bronzeshore/placement/PolicyTest.kt
+++ b/placement/src/test/kotlin/dev/bronzeshore/placement/PolicyTest.kt
@@ -119,7 +119,7 @@
         assertEquals(listOf("g", "g"), placed.map { it.jobId })
     }
 
-    /** Guards against backfill that delays a reserved gang, and against reserved capacity that idles until it starts. */
+    /** Guards against backfill that delays a reserved gang, and against idle reserved capacity until it starts. */
     @Test
     fun `backfill runs in reserved capacity only until the reservation starts`() {
         val engine = engine(clock, workers = 2)
