--- a/placement/src/main/kotlin/dev/bronzeshore/placement/RoundPlanner.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/RoundPlanner.kt
@@ -58,13 +58,7 @@
             while (!starter.isFull) {
                 val next = firstFor(worker) ?: break
                 if (!starter.fitsInRound(next.shape.gangParts)) return
-                if (next.state == QueueState.READY ||
-                    next.shape.gangParts > 0
-                ) {
-                    tryPlace(next)
-                } else {
-                    start(worker, next)
-                }
+                if (next.state == QueueState.READY || next.shape.gangParts > 0) tryPlace(next) else start(worker, next)
             }
             backfill.fill(worker)
         }
@@ -143,13 +137,7 @@
         val isAllowed = next.kindQueue.plan.allowsBesideReserved(next.demand, ownReserved(next))
         if (!isAllowed) return block(next, QueueState.WAITS_FOR_LIMIT)
         if (job.isGang) {
-            if (!workers.fitTogether(
-                    job.item.size,
-                    job.pending.size,
-                )
-            ) {
-                return block(next, QueueState.WAITS_FOR_ROOM)
-            }
+            if (!workers.fitTogether(job.item.size, job.pending.size)) return block(next, QueueState.WAITS_FOR_ROOM)
             reservations.removeAllOf(job)
             starter.start(job, job.pending.map { Assignment(it, null) })
         } else {
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/WorkerRegistry.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/WorkerRegistry.kt
@@ -97,13 +97,7 @@
         val free = worker.free
         indexOf(worker).put(worker)
         reclaimable.put(worker.slot, free + worker.preemptible)
-        if (worker.reservations.isEmpty()) {
-            spare.remove(
-                worker.slot,
-            )
-        } else {
-            spare.put(worker.slot, worker.unallocated)
-        }
+        if (worker.reservations.isEmpty()) spare.remove(worker.slot) else spare.put(worker.slot, worker.unallocated)
         if (!free.fitsIn(worker.indexedFree)) freedWorkers.add(worker)
         worker.indexedFree = free
     }
