--- a/placement/src/main/kotlin/dev/bronzeshore/placement/KindOrder.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/KindOrder.kt
@@ -27,10 +27,10 @@
     }
 
     private fun precedes(queue: ShapeQueue, other: ShapeQueue, tier: Int): Boolean {
-        val byUse = compareUse(queue.kindQueue, other.kindQueue)
+        val byUsage = compareUsage(queue.kindQueue, other.kindQueue)
         val byRank = queue.rank.compareTo(other.rank)
-        val first = if (tier == BORROWING) byUse else byRank
-        val second = if (tier == BORROWING) byRank else byUse
+        val first = if (tier == BORROWING) byUsage else byRank
+        val second = if (tier == BORROWING) byRank else byUsage
         return when {
             first != 0 -> first < 0
             second != 0 -> second < 0
@@ -38,7 +38,7 @@
         }
     }
 
-    private fun compareUse(kind: KindQueue, other: KindQueue): Int {
+    private fun compareUsage(kind: KindQueue, other: KindQueue): Int {
         val byPlan = (kind.plan.dominantShareMicros * other.plan.shareWeight)
             .compareTo(other.plan.dominantShareMicros * kind.plan.shareWeight)
         if (byPlan != 0) return byPlan
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/ShapeQueue.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/ShapeQueue.kt
@@ -37,14 +37,12 @@
         get() = kindQueue.kind.policy == Policy.BATCH && shape.urgency == Urgency.PATIENT
 
     private fun compareByAgeAndSize(other: ShapeQueue): Int {
-        val byAge = (jobs.first().orderMs / SIZE_ORDER_WINDOW_MS).compareTo(
-            other.jobs.first().orderMs / SIZE_ORDER_WINDOW_MS,
-        )
+        val byAge = (jobs.first().orderMs / SIZE_WINDOW_MS).compareTo(other.jobs.first().orderMs / SIZE_WINDOW_MS)
         return if (byAge != 0) byAge else other.sizeClass.compareTo(sizeClass)
     }
 
     private companion object {
         /** Small patient jobs wait behind large ones of the same window only, so that they do not starve. */
-        const val SIZE_ORDER_WINDOW_MS = 60_000L
+        const val SIZE_WINDOW_MS = 60_000L
     }
 }
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/UsageTracker.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/UsageTracker.kt
@@ -23,9 +23,8 @@
             maxOf(0, worker.allocated.processorsMillicores - worker.capacity.processorsMillicores),
             maxOf(0, worker.allocated.memoryBytes - worker.capacity.memoryBytes),
         )
-        preemptions.chooseVictims(worker, excess, worker.stopping) {
-            !it.job.isImportant
-        }?.let { preemptions.preempt(it) }
+        preemptions.chooseVictims(worker, excess, worker.stopping) { !it.job.isImportant }
+            ?.let { preemptions.preempt(it) }
     }
 
     private fun isBelowThreshold(usage: Resources, capacity: Resources): Boolean =
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/WorkerIndex.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/WorkerIndex.kt
@@ -3,7 +3,7 @@
 
 import dev.bronzeshore.core.Resources
 
-/** Workers with and without accelerators have separate indexes, so that other work avoids accelerators. */
+/** Workers with and without accelerators have separate indexes, so that work that needs none avoids accelerators. */
 internal class WorkerIndex(private val workerAt: (slot: Int) -> WorkerState) {
     private val byProcessors = FreeCapacityIndex { it.processorsMillicores }
     private val byMemory = FreeCapacityIndex { it.memoryBytes }
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/WorkerRegistry.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/WorkerRegistry.kt
@@ -126,7 +126,7 @@
         return List(found) { bySlot[slots[it]] }
     }
 
-    /** Up to [count] workers with the most free processors that fit [size] when empty. */
+    /** Up to [count] workers with the most free processors that fit [size] when no parts run there. */
     fun withMostFreeProcessors(size: Resources, count: Int): List<WorkerState> {
         val withAccelerators = accelerated.largest(count)
         val all = if (size.accelerators > 0) withAccelerators else plain.largest(count) + withAccelerators
