--- a/placement/src/main/kotlin/dev/bronzeshore/placement/KindOrder.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/KindOrder.kt
@@ -1,36 +1,36 @@
-/** Which kind of work is served next. */
+/** Order in which kinds of work are served. */
 package dev.bronzeshore.placement
 
 /**
- * Kinds below their share go first, by urgency and then by use relative to weight; of these, pressing work leads.
+ * Kinds below their share come first, by urgency and then by usage relative to weight; time-critical work leads them.
  *
- * Kinds at or above their share take what is left by use relative to weight, so that a lent share is divided fairly.
+ * Kinds at or above their share follow by usage relative to weight, so that unused shares are divided fairly.
  */
 internal object KindOrder {
-    /** Returns the queue to serve first among [current] (null for none) and [other], which may be of any kinds. */
+    /** Returns the queue to serve first of [current] (null for none) and [other]; their kinds may differ. */
     fun first(current: ShapeQueue?, other: ShapeQueue, nowMs: Long): ShapeQueue {
         if (current == null) return other
-        val currentLane = laneOf(current, nowMs)
-        val otherLane = laneOf(other, nowMs)
-        val otherLeads = if (currentLane != otherLane) {
-            otherLane < currentLane
+        val currentTier = tierOf(current, nowMs)
+        val otherTier = tierOf(other, nowMs)
+        val otherIsFirst = if (currentTier != otherTier) {
+            otherTier < currentTier
         } else {
-            precedes(other, current, otherLane)
+            precedes(other, current, otherTier)
         }
-        return if (otherLeads) other else current
+        return if (otherIsFirst) other else current
     }
 
-    private fun laneOf(queue: ShapeQueue, nowMs: Long): Int = when {
-        !queue.kindQueue.isUnderShare -> LENT
-        queue.jobs.first().isPressing(nowMs) -> PRESSING
-        else -> ENTITLED
+    private fun tierOf(queue: ShapeQueue, nowMs: Long): Int = when {
+        !queue.kindQueue.isBelowShare -> BORROWING
+        queue.jobs.first().isTimeCritical(nowMs) -> TIME_CRITICAL
+        else -> BELOW_SHARE
     }
 
-    private fun precedes(queue: ShapeQueue, other: ShapeQueue, lane: Int): Boolean {
-        val byUse = compareUse(queue.kindQueue, other.kindQueue)
+    private fun precedes(queue: ShapeQueue, other: ShapeQueue, tier: Int): Boolean {
+        val byUsage = compareUsage(queue.kindQueue, other.kindQueue)
         val byRank = queue.rank.compareTo(other.rank)
-        val first = if (lane == LENT) byUse else byRank
-        val second = if (lane == LENT) byRank else byUse
+        val first = if (tier == BORROWING) byUsage else byRank
+        val second = if (tier == BORROWING) byRank else byUsage
         return when {
             first != 0 -> first < 0
             second != 0 -> second < 0
@@ -38,14 +38,14 @@
         }
     }
 
-    private fun compareUse(kind: KindQueue, other: KindQueue): Int {
-        val byPlan = (kind.plan.dominantMicros * other.plan.shareWeight)
-            .compareTo(other.plan.dominantMicros * kind.plan.shareWeight)
+    private fun compareUsage(kind: KindQueue, other: KindQueue): Int {
+        val byPlan = (kind.plan.dominantShareMicros * other.plan.shareWeight)
+            .compareTo(other.plan.dominantShareMicros * kind.plan.shareWeight)
         if (byPlan != 0) return byPlan
-        return (kind.dominantMicros * other.weight).compareTo(other.dominantMicros * kind.weight)
+        return (kind.dominantShareMicros * other.weight).compareTo(other.dominantShareMicros * kind.weight)
     }
 
-    private const val PRESSING = 0
-    private const val ENTITLED = 1
-    private const val LENT = 2
+    private const val TIME_CRITICAL = 0
+    private const val BELOW_SHARE = 1
+    private const val BORROWING = 2
 }
--- a/placement/src/main/kotlin/dev/bronzeshore/placement/WorkQueue.kt
+++ b/placement/src/main/kotlin/dev/bronzeshore/placement/WorkQueue.kt
@@ -1,4 +1,4 @@
-/** All pending work: which queues may be tried, and which wait for room or for their plan's limit. */
+/** All pending work: which queues may be tried, and which wait for free capacity or for their plan's limit. */
 package dev.bronzeshore.placement
 
 import dev.bronzeshore.core.Resources
@@ -8,18 +8,18 @@
     /** Kinds with at least one ready queue. */
     val readyKinds: LinkedHashSet<KindQueue> = LinkedHashSet()
 
-    /** Kinds with at least one queue that waits for room or for the limit of its plan. */
-    val waitingKinds: LinkedHashSet<KindQueue> = LinkedHashSet()
+    /** Kinds with at least one queue that waits for free capacity or for the limit of its plan. */
+    val blockedKinds: LinkedHashSet<KindQueue> = LinkedHashSet()
 
-    /** Plans that use or keep less than when the queue last looked at them. */
-    val freedPlans: LinkedHashSet<PlanAccount> = LinkedHashSet()
+    /** Plans whose usage or reservations went down since their blocked queues were last tried. */
+    val freedPlans: LinkedHashSet<PlanState> = LinkedHashSet()
 
     fun add(job: JobEntry) {
         if (job.pending.isEmpty()) return
         val gangParts = if (job.isGang) job.pending.size else 0
         val shape = Shape(job.item.urgency, job.item.size, gangParts)
         val queue = job.kindQueue.shapes.getOrPut(shape) { ShapeQueue(job.kindQueue, shape, sizeClassOf(shape.size)) }
-        // The order of a queue follows its first job, so it is taken out of the sorted sets while that may change.
+        // The order of a queue depends on its first job, so it leaves the sorted sets while that may change.
         val state = queue.state
         unlink(queue)
         queue.jobs.add(job)
@@ -42,8 +42,8 @@
         link(queue, state)
     }
 
-    /** Records that [plan] may start more, so that the next round looks at what waits for its limit. */
-    fun limitFreed(plan: PlanAccount) {
+    /** Makes the next round retry the queues that wait for the limit of [plan]. */
+    fun retryAtLimit(plan: PlanState) {
         freedPlans.add(plan)
     }
 
@@ -61,8 +61,8 @@
                 readyKinds.add(kind)
             }
             QueueState.WAITS_FOR_LIMIT, QueueState.WAITS_FOR_ROOM -> {
-                kind.waiting.add(queue)
-                waitingKinds.add(kind)
+                kind.blocked.add(queue)
+                blockedKinds.add(kind)
             }
             QueueState.EMPTY -> Unit
         }
@@ -75,8 +75,8 @@
                 if (queue.kindQueue.ready.isEmpty()) readyKinds.remove(queue.kindQueue)
             }
             QueueState.WAITS_FOR_LIMIT, QueueState.WAITS_FOR_ROOM -> {
-                queue.kindQueue.waiting.remove(queue)
-                if (queue.kindQueue.waiting.isEmpty) waitingKinds.remove(queue.kindQueue)
+                queue.kindQueue.blocked.remove(queue)
+                if (queue.kindQueue.blocked.isEmpty) blockedKinds.remove(queue.kindQueue)
             }
             QueueState.EMPTY -> Unit
         }
