--- a/requests/src/main/kotlin/dev/bronzeshore/requests/FloodSetup.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/FloodScenario.kt
@@ -14,7 +14,7 @@
 )
 
 /** A trial with exponentially distributed arrivals and service times; [flooded] offers [floodLoad], not its load. */
-public data class FloodSetup(
+public data class FloodScenario(
     public val seed: Long = 42,
     public val endpoints: Int = 3,
     public val slotsPerEndpoint: Int = 8,
@@ -40,7 +40,7 @@
 public enum class FloodPolicy { FAIR, FAIR_WITHOUT_RESERVE, FIFO, STRICT_PRIORITY }
 
 /** What one kind got. */
-public data class FloodFigures(
+public data class FloodKindStats(
     public val kind: String,
     public val offered: Long,
     public val started: Long,
@@ -54,8 +54,8 @@
 }
 
 /** Figures by kind, and the part of the slot time that was in use. */
-public data class FloodReport(public val kinds: List<FloodFigures>, public val slotsUsed: Double) {
-    public fun of(kind: String): FloodFigures = kinds.first { it.kind == kind }
+public data class FloodReport(public val kinds: List<FloodKindStats>, public val slotsUsed: Double) {
+    public fun of(kind: String): FloodKindStats = kinds.first { it.kind == kind }
 }
 
 /** Mean cost of decisions in nanoseconds. */
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/FloodTrial.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/FloodSimulation.kt
@@ -10,7 +10,7 @@
 import kotlin.random.Random
 
 /** Runs one flood trial through [AdmissionQueue] and [SlotPool]. */
-public class FloodTrial internal constructor(private val setup: FloodSetup, pick: KindPicker) {
+public class FloodSimulation internal constructor(private val setup: FloodScenario, pick: KindPicker) {
     private class Event(val atMicros: Long, val run: () -> Unit)
 
     private class Counts(val kind: FloodKind, val random: Random, val load: Double) {
@@ -34,7 +34,7 @@
     }
     private var usedMicros = 0L
 
-    public constructor(setup: FloodSetup, policy: FloodPolicy) : this(setup, pickerOf(policy))
+    public constructor(setup: FloodScenario, policy: FloodPolicy) : this(setup, pickerOf(policy))
 
     /** Runs the trial to its end. */
     public fun run(): FloodReport {
@@ -102,7 +102,7 @@
         events.add(Event(nowMicros + tookMicros) { queue.release(request, lease) })
     }
 
-    private fun figuresOf(counts: Counts): FloodFigures = FloodFigures(
+    private fun figuresOf(counts: Counts): FloodKindStats = FloodKindStats(
         counts.kind.name,
         counts.offered,
         counts.waits.totalCount,
@@ -130,8 +130,8 @@
          * a refusal while the queue is full.
          */
         public fun decisionCost(rounds: Int = 1_000_000): DecisionCost {
-            val full = FloodTrial(FloodSetup(limits = AdmissionLimits(waitingPerKind = 0)), FloodPolicy.FAIR)
-            val open = FloodTrial(FloodSetup(), FloodPolicy.FAIR)
+            val full = FloodSimulation(FloodScenario(limits = AdmissionLimits(waitingPerKind = 0)), FloodPolicy.FAIR)
+            val open = FloodSimulation(FloodScenario(), FloodPolicy.FAIR)
             full.prepare()
             full.queue.tick()
             open.prepare()
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/IncomingRequest.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/IncomingRequest.kt
@@ -31,7 +31,7 @@
  *
  * The router fills in [endpointId] and [waitedMs], the time from arrival to start.
  */
-public class AnswerHead(
+public class ResponseHead(
     public val status: Int,
     public val headers: List<HeaderLine>,
     public val contentLength: Long?,
@@ -39,7 +39,7 @@
     public val waitedMs: Long = 0,
 ) {
     internal fun routed(endpointId: String, waitedMs: Long) =
-        AnswerHead(status, headers, contentLength, endpointId, waitedMs)
+        ResponseHead(status, headers, contentLength, endpointId, waitedMs)
 }
 
 /**
@@ -48,4 +48,4 @@
  * It is called at most once per request and has to call `writeBody` exactly once, also for an empty body. If
  * `writeBody` throws, the connection to the caller must be closed without completing the answer.
  */
-public typealias Responder = suspend (head: AnswerHead, writeBody: suspend (ByteWriteChannel) -> Unit) -> Unit
+public typealias Responder = suspend (head: ResponseHead, writeBody: suspend (ByteWriteChannel) -> Unit) -> Unit
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/RequestRouter.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/RequestRouter.kt
@@ -24,7 +24,7 @@
  * Admits requests, chooses endpoints and streams the exchanges. Thread-safe: all decisions run on [control], which has
  * to be single-threaded.
  *
- * [askForSlots] is called on the control thread, at most once per [ASK_EVERY_MS], when a request finds no free slot; it
+ * [onSlotShortage] is called on the control thread, at most once per [SLOT_SHORTAGE_PERIOD_MS], when a request finds no free slot; it
  * must not block. The owners should then be asked at once instead of at the next refresh.
  */
 public class RequestRouter(
@@ -33,7 +33,7 @@
     private val proxy: RequestProxy,
     random: Random,
     private val limits: RouterLimits = RouterLimits(),
-    private val askForSlots: () -> Unit = {},
+    private val onSlotShortage: () -> Unit = {},
 ) {
     private val latency = LatencyTracker(clock)
     private val pool = SlotPool(clock, latency, random)
@@ -122,12 +122,12 @@
 
     private fun askIfNone() {
         val nowMs = clock()
-        if (nowMs < askedAtMs + ASK_EVERY_MS) return
+        if (nowMs < askedAtMs + SLOT_SHORTAGE_PERIOD_MS) return
         askedAtMs = nowMs
-        askForSlots()
+        onSlotShortage()
     }
 
     public companion object {
-        public const val ASK_EVERY_MS: Long = 100
+        public const val SLOT_SHORTAGE_PERIOD_MS: Long = 100
     }
 }
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/AllotmentLedger.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/SlotAllocator.kt
@@ -5,7 +5,7 @@
 import dev.bronzeshore.core.ClockMs
 
 /** A grant is renewed every second; two renewals in a row may be lost before a process runs out of slots. */
-public const val GRANT_MS: Long = 2_500
+public const val GRANT_DURATION_MS: Long = 2_500
 
 /**
  * Grants endpoint slots to processes. Control state: not thread-safe.
@@ -14,7 +14,7 @@
  * ledger counts nothing, so it may only be created once the deadline of the previous owner has passed. Requests that a
  * process keeps in flight after it lost contact for longer than its grant are counted again from its next report on.
  */
-public class AllotmentLedger(
+public class SlotAllocator(
     private val dataCentre: String,
     private val clock: ClockMs,
     private val actUntilMs: () -> Long,
@@ -37,9 +37,9 @@
     }
 
     /** Answers a request with everything the process may use from now on; empty if ownership has lapsed. */
-    public fun answer(request: AllotmentRequest): Allotments {
+    public fun allocate(request: AllotmentRequest): Allotments {
         val nowMs = clock()
-        val untilMs = minOf(nowMs + GRANT_MS, actUntilMs())
+        val untilMs = minOf(nowMs + GRANT_DURATION_MS, actUntilMs())
         if (request.dataCentre != dataCentre || untilMs <= nowMs) return Allotments(emptyList())
         holders.values.removeAll { it.isExpired(nowMs) }
         val holder = holders.getOrPut(request.processId) { SlotHolder(request.processId) }
@@ -59,7 +59,7 @@
     }
 
     /** Slots that may be in use at an endpoint now, by any process. */
-    public fun countedAt(endpointId: String): Int {
+    public fun committedAt(endpointId: String): Int {
         holders.values.removeAll { it.isExpired(clock()) }
         return SlotUsage(holders.values).at(endpointId)
     }
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/SlotHolder.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/SlotHolder.kt
@@ -27,7 +27,7 @@
         lastSequence = request.sequence
         demand = request.demand
         inUse = request.inUse.associate { SlotKey(it.endpointId, it.plan) to it.slots }
-        heldUntilMs = maxOf(heldUntilMs, nowMs + GRANT_MS)
+        heldUntilMs = maxOf(heldUntilMs, nowMs + GRANT_DURATION_MS)
         grants.removeAll { it.id < request.appliedGrantId }
         return true
     }
--- a/requests/src/test/kotlin/dev/bronzeshore/requests/FloodTrialTest.kt
+++ b/requests/src/test/kotlin/dev/bronzeshore/requests/FloodTrialTest.kt
@@ -11,12 +11,12 @@
 /** Prints the figures of docs/decisions/0003-admission.md and checks those that must hold. */
 class FloodTrialTest {
     /** Total load 0.8 instead of 0.5, with a background kind that asks for more than its share. */
-    private val busy = FloodSetup.KINDS.map {
+    private val busy = FloodScenario.KINDS.map {
         if (it.name == "background") it.copy(load = 0.4, weight = 2) else it
     }
 
     private fun run(policy: FloodPolicy, flooded: String?, kinds: List<FloodKind>): FloodReport {
-        val report = FloodTrial(FloodSetup(flooded = flooded, kinds = kinds), policy).run()
+        val report = FloodSimulation(FloodScenario(flooded = flooded, kinds = kinds), policy).run()
         println("flood: $policy, load ${kinds.sumOf { it.load }}, flooded $flooded, slots used ${report.slotsUsed}")
         report.kinds.forEach { println("flood:   $it, kept ${it.kept}") }
         return report
@@ -25,7 +25,7 @@
     @ParameterizedTest
     @CsvSource("background,false", "urgent,false", "background,true", "urgent,true")
     fun `guards against a flood of one kind that takes the others' share`(flooded: String, isBusy: Boolean) {
-        val kinds = if (isBusy) busy else FloodSetup.KINDS
+        val kinds = if (isBusy) busy else FloodScenario.KINDS
         val flood = run(FloodPolicy.FAIR, flooded, kinds)
         for (kind in kinds.filter { it.name != flooded }) {
             val share = kind.weight.toDouble() / kinds.sumOf { it.weight }
@@ -47,7 +47,7 @@
 
     /** The stated target: the p99 of the waiting time is at most 1.2 times that without a flood. */
     private fun assertWaitInFlood(flooded: String, isBusy: Boolean) {
-        val kinds = if (isBusy) busy else FloodSetup.KINDS
+        val kinds = if (isBusy) busy else FloodScenario.KINDS
         val most = 1.2 * run(FloodPolicy.FAIR, null, kinds).of("interactive").waitP99Micros
         val waited = run(FloodPolicy.FAIR, flooded, kinds).of("interactive").waitP99Micros
         assertTrue(waited <= most, "interactive requests waited $waited us, at most $most us are expected")
@@ -56,24 +56,24 @@
     @Test
     fun `guards against a trial that cannot tell policies apart`() {
         for (policy in FloodPolicy.entries.filter { it != FloodPolicy.FAIR }) {
-            listOf(null, "background", "urgent").forEach { run(policy, it, FloodSetup.KINDS) }
+            listOf(null, "background", "urgent").forEach { run(policy, it, FloodScenario.KINDS) }
             listOf(null, "background", "urgent").forEach { run(policy, it, busy) }
         }
-        val fifo = run(FloodPolicy.FIFO, "background", FloodSetup.KINDS)
+        val fifo = run(FloodPolicy.FIFO, "background", FloodScenario.KINDS)
         assertTrue(fifo.of("urgent").kept < 0.5)
-        val strict = run(FloodPolicy.STRICT_PRIORITY, "urgent", FloodSetup.KINDS)
+        val strict = run(FloodPolicy.STRICT_PRIORITY, "urgent", FloodScenario.KINDS)
         assertTrue(strict.of("background").kept < 0.5)
     }
 
     @Test
     fun `guards against figures that change between runs of one seed`() {
-        val reports = (1..2).map { FloodTrial(FloodSetup(flooded = "urgent", runMs = 5_000), FloodPolicy.FAIR).run() }
+        val reports = (1..2).map { FloodSimulation(FloodScenario(flooded = "urgent", runMs = 5_000), FloodPolicy.FAIR).run() }
         assertEquals(reports[0], reports[1])
     }
 
     @Test
     fun `guards against refusals that cost as much as serving`() {
-        val cost = FloodTrial.decisionCost()
+        val cost = FloodSimulation.decisionCost()
         println("flood: $cost")
         // Far above the target, because the machine may be busy; the target is checked by the benchmark.
         assertTrue(cost.refuseNanos < cost.serveNanos / 2, "$cost")
--- a/requests/src/test/kotlin/dev/bronzeshore/requests/RequestRouterTest.kt
+++ b/requests/src/test/kotlin/dev/bronzeshore/requests/RequestRouterTest.kt
@@ -44,7 +44,7 @@
             { nowMs() },
             proxy,
             Random(1),
-            askForSlots = { asked.incrementAndGet() },
+            onSlotShortage = { asked.incrementAndGet() },
         )
 
     @AfterEach
@@ -220,16 +220,16 @@
     @Test
     fun `guards against a waiting request that the owner does not hear of`() = test {
         val endpoint = endpoint { it.answer("ok") }
-        val ledger = AllotmentLedger("dc1", { nowMs() }, { Long.MAX_VALUE })
-        ledger.setEndpoints(listOf(EndpointSlots("e1", endpoint.address, "stock", 8)))
-        ledger.setAllowances(listOf(Allowance("solvgaard", "dc1", Resources.NONE, slots = 8)))
+        val allocator = SlotAllocator("dc1", { nowMs() }, { Long.MAX_VALUE })
+        allocator.setEndpoints(listOf(EndpointSlots("e1", endpoint.address, "stock", 8)))
+        allocator.setAllowances(listOf(Allowance("solvgaard", "dc1", Resources.NONE, slots = 8)))
         router.configure(listOf(plan))
         coroutineScope {
             val call = async { route(request()) }
             while (asked.get() == 0) yield()
             val asking = router.allotmentRequest("dc1", "p1")
             assertEquals(listOf(SlotDemand("stock", "solvgaard", wanted = 1, inUse = 0)), asking.demand)
-            router.apply("dc1", ledger.answer(asking))
+            router.apply("dc1", allocator.allocate(asking))
             assertEquals("e1", call.await().getOrNull()?.endpointId)
         }
         assertTrue(router.allotmentRequest("dc1", "p1").appliedGrantId > 0)
--- a/requests/src/test/kotlin/dev/bronzeshore/requests/AllotmentLedgerTest.kt
+++ b/requests/src/test/kotlin/dev/bronzeshore/requests/SlotAllocatorTest.kt
@@ -7,10 +7,10 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-class AllotmentLedgerTest {
+class SlotAllocatorTest {
     private var nowMs = 1_000_000L
     private var actUntilMs = Long.MAX_VALUE
-    private val ledger = AllotmentLedger("dc1", { nowMs }, { actUntilMs })
+    private val allocator = SlotAllocator("dc1", { nowMs }, { actUntilMs })
     private val confirmed = HashMap<String, Long>()
 
     private fun endpoints(count: Int, slots: Int = 8) =
@@ -22,7 +22,7 @@
         nowMs++
         val demand = listOf(SlotDemand("stock", plan, wanted, 0))
         val request = AllotmentRequest("dc1", process, demand, emptyList(), nowMs, confirmed[process] ?: 0)
-        val answer = ledger.answer(request)
+        val answer = allocator.allocate(request)
         confirmed[process] = answer.grantId
         return answer.list
     }
@@ -31,18 +31,18 @@
 
     @Test
     fun `guards against grants over the endpoint's slots or the plan's allowance`() {
-        ledger.setEndpoints(endpoints(2))
-        ledger.setAllowances(listOf(allow("utility", 10), allow("solvgaard", 100)))
+        allocator.setEndpoints(endpoints(2))
+        allocator.setAllowances(listOf(allow("utility", 10), allow("solvgaard", 100)))
         val total = ask("p1", 50).slots() + ask("p2", 50).slots()
         assertTrue(total <= 10, "granted $total of 10 allowed slots")
         ask("p3", 50, "solvgaard")
-        for (id in listOf("e1", "e2")) assertTrue(ledger.countedAt(id) <= 8)
+        for (id in listOf("e1", "e2")) assertTrue(allocator.committedAt(id) <= 8)
     }
 
     @Test
     fun `guards against slots that stay with an idle process`() {
-        ledger.setEndpoints(endpoints(4))
-        ledger.setAllowances(listOf(allow("utility", 32)))
+        allocator.setEndpoints(endpoints(4))
+        allocator.setAllowances(listOf(allow("utility", 32)))
         assertTrue(ask("p1", 32).slots() >= 28)
         ask("p2", 0)
         // The first answer takes the slots away, the second request confirms that.
@@ -55,8 +55,8 @@
 
     @Test
     fun `guards against a first request that waits because another process holds everything`() {
-        ledger.setEndpoints(endpoints(4))
-        ledger.setAllowances(listOf(allow("utility", 32), allow("solvgaard", 32)))
+        allocator.setEndpoints(endpoints(4))
+        allocator.setAllowances(listOf(allow("utility", 32), allow("solvgaard", 32)))
         repeat(3) {
             ask("p1", 500)
             ask("p2", 0)
@@ -68,20 +68,20 @@
 
     @Test
     fun `guards against a dead holder's slots that are granted before its deadline plus drift`() {
-        ledger.setEndpoints(endpoints(1))
-        ledger.setAllowances(listOf(allow("utility", 8)))
+        allocator.setEndpoints(endpoints(1))
+        allocator.setAllowances(listOf(allow("utility", 8)))
         val grantedAtMs = nowMs + 1
         val held = ask("p1", 8).slots()
         assertEquals(8, held)
-        nowMs = grantedAtMs + GRANT_MS + MAX_CLOCK_SKEW_MS - 2
+        nowMs = grantedAtMs + GRANT_DURATION_MS + MAX_CLOCK_SKEW_MS - 2
         assertEquals(0, ask("p2", 8).slots())
         assertEquals(8, ask("p2", 8).slots())
     }
 
     @Test
     fun `guards against grants beyond the owner's own deadline`() {
-        ledger.setEndpoints(endpoints(1))
-        ledger.setAllowances(listOf(allow("utility", 8)))
+        allocator.setEndpoints(endpoints(1))
+        allocator.setAllowances(listOf(allow("utility", 8)))
         actUntilMs = nowMs + 500
         assertTrue(ask("p1", 8).all { it.untilMs <= actUntilMs })
         nowMs = actUntilMs
@@ -90,17 +90,17 @@
 
     @Test
     fun `guards against new grants on a leaving endpoint`() {
-        ledger.setEndpoints(endpoints(2))
-        ledger.setAllowances(listOf(allow("utility", 16)))
+        allocator.setEndpoints(endpoints(2))
+        allocator.setAllowances(listOf(allow("utility", 16)))
         ask("p1", 16)
-        ledger.setEndpoints(endpoints(2).map { it.copy(leaving = it.id == "e2") })
+        allocator.setEndpoints(endpoints(2).map { it.copy(leaving = it.id == "e2") })
         assertEquals(setOf("e1"), ask("p1", 16).map { it.endpointId }.toSet())
     }
 
     @Test
     fun `guards against a plan that takes another plan's share under contention`() {
-        ledger.setEndpoints(endpoints(5))
-        ledger.setAllowances(listOf(allow("utility", 40, weight = 3), allow("solvgaard", 40, weight = 1)))
+        allocator.setEndpoints(endpoints(5))
+        allocator.setAllowances(listOf(allow("utility", 40, weight = 3), allow("solvgaard", 40, weight = 1)))
         repeat(4) {
             ask("p1", 400)
             ask("p2", 400, "solvgaard")
--- a/requests/src/test/kotlin/dev/bronzeshore/requests/SlotSafetyTest.kt
+++ b/requests/src/test/kotlin/dev/bronzeshore/requests/SlotSafetyTest.kt
@@ -33,11 +33,11 @@
         private val plans = listOf("utility", "solvgaard")
         private var endpoints = (1..5).map { EndpointSlots("e$it", "a:$it", "stock", 4) }
         private var allowances = plans.map { Allowance(it, "dc1", Resources.NONE, 12) }
-        private var ledger = newLedger()
+        private var allocator = newLedger()
         private val processes = ArrayList<Process>()
         private var handedOut = 0
 
-        private fun newLedger() = AllotmentLedger("dc1", { nowMs }, { actUntilMs }).also {
+        private fun newLedger() = SlotAllocator("dc1", { nowMs }, { actUntilMs }).also {
             it.setEndpoints(endpoints)
             it.setAllowances(allowances)
         }
@@ -94,7 +94,7 @@
             if (process.pending.isNotEmpty()) {
                 val request = process.pending.random(random)
                 if (random.nextInt(4) > 0) process.pending.remove(request)
-                process.answers += ledger.answer(request)
+                process.answers += allocator.allocate(request)
             }
             if (process.answers.isNotEmpty() && random.nextInt(3) > 0) {
                 val answer = process.answers.random(random)
@@ -124,14 +124,14 @@
 
         private fun changeEndpoints() {
             endpoints = endpoints.map { it.copy(leaving = random.nextInt(4) == 0) }
-            ledger.setEndpoints(endpoints)
+            allocator.setEndpoints(endpoints)
         }
 
         /** A takeover: the new ledger is created after the old owner's deadline; requests in flight have ended. */
         private fun changeOwner() {
             nowMs = actUntilMs + 2 * MAX_CLOCK_SKEW_MS
             processes.forEach { process -> while (process.leases.isNotEmpty()) release(process) }
-            ledger = newLedger()
+            allocator = newLedger()
         }
 
         private fun check() {
--- a/server/src/main/kotlin/dev/bronzeshore/server/BronzeshoreProcess.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/BronzeshoreProcess.kt
@@ -87,7 +87,7 @@
     private val jobRouter: JobRouter = JobRouter(gateway, ownerService, table) { configuration.current }
     private val proxy = RequestProxy(Dispatchers.Default, clock)
     private val requestRouter: RequestRouter =
-        RequestRouter(control, clock, proxy, Random.Default, askForSlots = { askForSlots() })
+        RequestRouter(control, clock, proxy, Random.Default, onSlotShortage = { askForSlots() })
     private val allotmentLoop: AllotmentLoop =
         AllotmentLoop(gateway, ownerService, requestRouter, dataCentres, self.processId)
     private val refresher = ConfigurationRefresher(table, configuration)
--- a/server/src/main/kotlin/dev/bronzeshore/server/DataCentreSupervisor.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/DataCentreSupervisor.kt
@@ -26,7 +26,7 @@
 import dev.bronzeshore.ownership.Promise
 import dev.bronzeshore.ownership.PromiseRequest
 import dev.bronzeshore.placement.PlacementEngine
-import dev.bronzeshore.requests.AllotmentLedger
+import dev.bronzeshore.requests.SlotAllocator
 import dev.bronzeshore.requests.EndpointSlots
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.Job
@@ -80,9 +80,9 @@
     val jobs: Either<Fault, DataCentreJobs> get() = current().map { it.jobs }
 
     /** Slots are granted only once every grant of the previous owner has run out. */
-    val ledger: Either<Fault, AllotmentLedger>
+    val allocator: Either<Fault, SlotAllocator>
         get() = current().flatMap { tenure ->
-            if (context.clock() > tenure.previousOverAtMs + MAX_CLOCK_SKEW_MS) tenure.ledger.right() else notOwner().left()
+            if (context.clock() > tenure.previousOverAtMs + MAX_CLOCK_SKEW_MS) tenure.allocator.right() else notOwner().left()
         }
 
     private fun current(): Either<Fault, Tenure> = tenure?.takeIf { ownership.mayAct() }?.right() ?: notOwner().left()
@@ -133,8 +133,8 @@
             ),
         )
         handled = jobs
-        val ledger = AllotmentLedger(dataCentre, context.clock) { ownership.actUntilMs }
-        val started = Tenure(gained.term, gained.previousEffectsUntilMs, scope, placer, jobs, ledger)
+        val allocator = SlotAllocator(dataCentre, context.clock) { ownership.actUntilMs }
+        val started = Tenure(gained.term, gained.previousEffectsUntilMs, scope, placer, jobs, allocator)
         applyView(started)
         scope.launch { jobs.run() }
         log.info { "Started handling $dataCentre in term ${gained.term}." }
@@ -144,8 +144,8 @@
     private fun applyView(tenure: Tenure) {
         tenure.placer.setAllowances(view.allowances)
         tenure.jobs.updateWorkers(view.workers)
-        tenure.ledger.setAllowances(view.allowances)
-        tenure.ledger.setEndpoints(
+        tenure.allocator.setAllowances(view.allowances)
+        tenure.allocator.setEndpoints(
             view.endpoints.map {
                 EndpointSlots(it.id, it.address, it.service.orEmpty(), it.slots, it.id in view.leavingEndpoints)
             },
@@ -159,7 +159,7 @@
         val scope: CoroutineScope,
         val placer: PlacementEngine,
         val jobs: DataCentreJobs,
-        val ledger: AllotmentLedger,
+        val allocator: SlotAllocator,
     )
 
     private companion object {
--- a/server/src/main/kotlin/dev/bronzeshore/server/OwnerService.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/OwnerService.kt
@@ -27,7 +27,7 @@
     }
 
     fun allot(request: AllotmentRequest): Either<Fault, Allotments> =
-        supervisors.find(request.dataCentre).flatMap { it.ledger }.map { it.answer(request) }
+        supervisors.find(request.dataCentre).flatMap { it.allocator }.map { it.allocate(request) }
 
     suspend fun submit(forward: JobForward): Either<Fault, JobRecord> =
         supervisors.find(forward.dataCentre).flatMap { it.jobs }
