--- a/requests/src/main/kotlin/dev/bronzeshore/requests/AdmissionQueue.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/AdmissionQueue.kt
@@ -8,9 +8,9 @@
 
 /** Bounds of the queues. */
 public data class AdmissionLimits(
-    public val waitingPerKind: Int = 512,
+    public val maxWaitingPerKind: Int = 512,
     /** Bound over all kinds of a plan; a kind below its weighted part of it is still accepted. */
-    public val waitingPerPlan: Int = 1_024,
+    public val maxWaitingPerPlan: Int = 1_024,
 )
 
 /**
@@ -30,8 +30,8 @@
     }
 
     private val plans = HashMap<String, PlanQueues>()
-    private val lanes = LinkedHashMap<LaneKey, List<KindQueue>>()
-    private var lastOrder = 0L
+    private val queuesByServicePlan = LinkedHashMap<ServicePlanKey, List<KindQueue>>()
+    private var lastSequence = 0L
 
     /** Read by other threads; the maps do not change. */
     @Volatile
@@ -41,9 +41,9 @@
         this(clock, pool, limits, FairPicker()::pick)
 
     /** Takes over the kinds that are answered by services; requests of a kind that is gone are refused. */
-    fun configure(list: List<Plan>) {
+    fun configure(configuredPlans: List<Plan>) {
         val removed = ArrayList<KindQueue>()
-        for (plan in list) {
+        for (plan in configuredPlans) {
             val queues = plans.getOrPut(plan.name) { PlanQueues() }
             val known = queues.kinds
             queues.kinds = plan.kinds.mapNotNull { kind ->
@@ -55,13 +55,13 @@
             queues.weight = queues.kinds.values.sumOf { it.weight }
             removed += known.values.filter { queues.kinds[it.kind.name] !== it }
         }
-        val names = list.map { it.name }.toSet()
+        val names = configuredPlans.map { it.name }.toSet()
         removed += plans.filterKeys { it !in names }.values.flatMap { it.kinds.values }
         for (queue in removed) refuseAll(queue, Fault(ResultCode.UNKNOWN_KIND, "The kind is no longer configured."))
         plans.keys.retainAll(names)
         published = plans.mapValues { it.value.kinds }
-        lanes.clear()
-        lanes += plans.values.flatMap { it.kinds.values }.groupBy { LaneKey(it.service, it.plan) }
+        queuesByServicePlan.clear()
+        queuesByServicePlan += plans.values.flatMap { it.kinds.values }.groupBy { ServicePlanKey(it.service, it.plan) }
         slotsChanged()
     }
 
@@ -69,7 +69,7 @@
      * The fault with which a kind is refused while its queue is full, or null. Thread-safe, so that a flood does not
      * reach the control thread.
      */
-    fun standingRefusal(plan: String, kind: String): Fault? = published[plan]?.get(kind)?.standingRefusal
+    fun queueFullFault(plan: String, kind: String): Fault? = published[plan]?.get(kind)?.queueFullFault
 
     /** Says at low cost why a request that arrives now is refused, or null if it is not. */
     fun refusalOf(plan: String, kind: String, service: String): Fault? {
@@ -78,34 +78,34 @@
         if (queue.service != service) return UNKNOWN_SERVICE
         val code =
             when {
-                queue.waiting >= limits.waitingPerKind -> ResultCode.QUEUE_FULL
-                queues.waiting < limits.waitingPerPlan -> return null
-                queue.waiting < limits.waitingPerPlan * queue.weight / queues.weight -> return null
+                queue.waiting >= limits.maxWaitingPerKind -> ResultCode.QUEUE_FULL
+                queues.waiting < limits.maxWaitingPerPlan -> return null
+                queue.waiting < limits.maxWaitingPerPlan * queue.weight / queues.weight -> return null
                 else -> ResultCode.SHARE_EXHAUSTED
             }
         val nowMs = clock()
-        queue.overflowed(nowMs)
-        return code.toFault(retryAtMs = queue.drainedAtMs(nowMs))
+        queue.recordOverflow(nowMs)
+        return code.toFault(retryAtMs = queue.expectedDrainAtMs(nowMs))
     }
 
     /** Queues a request, or returns the fault with which it is refused. A free slot is given out at once. */
     fun enqueue(request: QueuedRequest): Fault? {
         val fault = refusalOf(request.plan, request.kind, request.service)
-        return fault ?: addInTime(request)
+        return fault ?: addUnlessExpired(request)
     }
 
     /** Queues a request again that was admitted before and could not be sent; no bound applies. */
     fun requeue(request: QueuedRequest): Fault? {
         if (plans[request.plan]?.kinds?.get(request.kind)?.service != request.service) return UNKNOWN_KIND
-        return addInTime(request)
+        return addUnlessExpired(request)
     }
 
     /** Removes a waiting request without a decision; returns false if it was decided before. */
     fun cancel(request: QueuedRequest): Boolean {
         if (request.state != QueuedState.WAITING) return false
         request.state = QueuedState.ENDED
-        request.queue?.cancelled()
-        leftQueue(request)
+        request.queue?.recordCancellation()
+        recordDequeue(request)
         return true
     }
 
@@ -114,31 +114,31 @@
         if (request.state != QueuedState.STARTED) return
         request.state = QueuedState.ENDED
         pool.release(lease)
-        request.queue?.ended(clock())
-        dispatch(LaneKey(request.service, request.plan))
+        request.queue?.recordEnd(clock())
+        dispatch(ServicePlanKey(request.service, request.plan))
     }
 
     /** To be called after allotments or the set of leaving endpoints changed. */
-    fun slotsChanged(): Unit = lanes.keys.forEach { dispatch(it) }
+    fun slotsChanged(): Unit = queuesByServicePlan.keys.forEach { dispatch(it) }
 
     /** To be called several times a second: drops requests and slots whose deadline has passed. */
     fun tick() {
         val nowMs = clock()
         pool.dropExpired()
-        for (queue in lanes.values.flatten()) {
+        for (queue in queuesByServicePlan.values.flatten()) {
             dropExpired(queue, nowMs)
-            queue.updateStandingRefusal(limits.waitingPerKind, nowMs)
+            queue.updateQueueFullFault(limits.maxWaitingPerKind, nowMs)
         }
         slotsChanged()
     }
 
     /** Requests of a plan that wait for a service. */
-    fun waiting(service: String, plan: String): Int = lanes[LaneKey(service, plan)]?.sumOf { it.waiting } ?: 0
+    fun waiting(service: String, plan: String): Int = queuesByServicePlan[ServicePlanKey(service, plan)]?.sumOf { it.waiting } ?: 0
 
     /** Service and plan of all configured kinds. */
-    fun laneKeys(): Set<LaneKey> = lanes.keys
+    fun servicePlans(): Set<ServicePlanKey> = queuesByServicePlan.keys
 
-    private fun addInTime(request: QueuedRequest): Fault? {
+    private fun addUnlessExpired(request: QueuedRequest): Fault? {
         if (clock() > request.startBeforeMs) return DEADLINE_PASSED
         add(request)
         return null
@@ -148,27 +148,27 @@
         val queues = plans.getValue(request.plan)
         val queue = queues.kinds.getValue(request.kind)
         request.queue = queue
-        request.order = lastOrder++
+        request.sequence = lastSequence++
         request.state = QueuedState.WAITING
         queue.add(request)
         queues.waiting++
-        queue.updateStandingRefusal(limits.waitingPerKind, clock())
-        dispatch(LaneKey(request.service, request.plan))
+        queue.updateQueueFullFault(limits.maxWaitingPerKind, clock())
+        dispatch(ServicePlanKey(request.service, request.plan))
     }
 
-    private fun dispatch(key: LaneKey) {
-        val kinds = lanes[key] ?: return
+    private fun dispatch(key: ServicePlanKey) {
+        val kinds = queuesByServicePlan[key] ?: return
         val nowMs = clock()
         while (true) {
             val free = pool.free(key.service, key.plan)
             if (free == 0) return
-            val queue = pick(LaneView(kinds, pool.granted(key.service, key.plan), free, nowMs)) ?: return
+            val queue = pick(SharingState(kinds, pool.granted(key.service, key.plan), free, nowMs)) ?: return
             dropExpired(queue, nowMs)
             if (queue.waiting == 0) continue
             val lease = pool.take(key.service, key.plan) ?: return
             val request = queue.pollHead() ?: error("a queue with waiting requests has no head")
-            leftQueue(request)
-            queue.started(nowMs)
+            recordDequeue(request)
+            queue.recordStart(nowMs)
             request.state = QueuedState.STARTED
             request.onDecision(AdmissionDecision.Start(lease))
         }
@@ -178,7 +178,7 @@
         while (true) {
             val head = queue.head() ?: return
             if (nowMs <= head.startBeforeMs) return
-            queue.overflowed(nowMs)
+            queue.recordOverflow(nowMs)
             refuseHead(queue, DEADLINE_PASSED)
         }
     }
@@ -189,14 +189,14 @@
 
     private fun refuseHead(queue: KindQueue, fault: Fault) {
         val request = queue.pollHead() ?: return
-        leftQueue(request)
+        recordDequeue(request)
         request.state = QueuedState.ENDED
         request.onDecision(AdmissionDecision.Refused(fault))
     }
 
-    private fun leftQueue(request: QueuedRequest) {
+    private fun recordDequeue(request: QueuedRequest) {
         plans[request.plan]?.let { it.waiting-- }
-        request.queue?.updateStandingRefusal(limits.waitingPerKind, clock())
+        request.queue?.updateQueueFullFault(limits.maxWaitingPerKind, clock())
     }
 
     private companion object {
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/BodyFraming.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/BodyFraming.kt
@@ -28,15 +28,15 @@
     data object UntilClose : Framing
 }
 
-/** Reads up to [most] bytes; a channel that was closed because of a failure throws instead of ending. */
-internal suspend fun ByteReadChannel.readOrFail(buffer: ByteArray, most: Int): Int {
-    val count = readAvailable(buffer, 0, most)
+/** Reads up to [maxBytes] bytes; a channel that was closed because of a failure throws instead of ending. */
+internal suspend fun ByteReadChannel.readOrFail(buffer: ByteArray, maxBytes: Int): Int {
+    val count = readAvailable(buffer, 0, maxBytes)
     if (count < 0) closedCause?.let { throw IOException("the connection failed: $it", it) }
     return count
 }
 
 /** True if the next read may have to wait; asking a failed channel throws, so the failure is left to that read. */
-internal fun ByteReadChannel.mayWait(): Boolean = try {
+internal fun ByteReadChannel.mightSuspend(): Boolean = try {
     availableForRead == 0
 } catch (_: IOException) {
     true
@@ -45,37 +45,37 @@
 /** Reads a body piece by piece; throws [IOException] if it ends before its framing says so. */
 internal class BodyReader(private val source: ByteReadChannel, private val framing: Framing) {
     /** Bytes left of the body or of the current chunk. */
-    private var left = if (framing is Framing.Length) framing.bytes else 0L
-    private var ended = framing == Framing.None
+    private var remainingBytes = if (framing is Framing.Length) framing.bytes else 0L
+    private var isEnded = framing == Framing.None
     private var firstChunk = true
 
     /** Returns the number of bytes read into [buffer], or -1 after the last one. */
     suspend fun read(buffer: ByteArray): Int {
-        if (framing == Framing.Chunked && left == 0L && !ended) nextChunk()
-        if (framing is Framing.Length && left == 0L) ended = true
-        if (ended) return -1
+        if (framing == Framing.Chunked && remainingBytes == 0L && !isEnded) readChunkHeader()
+        if (framing is Framing.Length && remainingBytes == 0L) isEnded = true
+        if (isEnded) return -1
         if (framing == Framing.UntilClose) return source.readOrFail(buffer, buffer.size)
-        val count = source.readOrFail(buffer, minOf(buffer.size.toLong(), left).toInt())
-        if (count < 0) throw EOFException("the connection ended $left bytes before the end of the body or chunk")
-        left -= count
+        val count = source.readOrFail(buffer, minOf(buffer.size.toLong(), remainingBytes).toInt())
+        if (count < 0) throw EOFException("the connection ended $remainingBytes bytes before the end of the body or chunk")
+        remainingBytes -= count
         return count
     }
 
     /** True if the next read may have to wait. */
-    val mayWait: Boolean get() = source.mayWait()
+    val mightSuspend: Boolean get() = source.mightSuspend()
 
-    private suspend fun nextChunk() {
-        if (!firstChunk && line().isNotEmpty()) throw IOException("a chunk is longer than its size says")
+    private suspend fun readChunkHeader() {
+        if (!firstChunk && readLine().isNotEmpty()) throw IOException("a chunk is longer than its size says")
         firstChunk = false
-        val size = line().substringBefore(';').trim()
-        left = size.toLongOrNull(HEX)?.takeIf { it >= 0 } ?: throw IOException("the chunk size '$size' is malformed")
-        if (left > 0) return
+        val size = readLine().substringBefore(';').trim()
+        remainingBytes = size.toLongOrNull(HEX)?.takeIf { it >= 0 } ?: throw IOException("the chunk size '$size' is malformed")
+        if (remainingBytes > 0) return
         // Trailers are hop-by-hop here and are dropped.
-        while (line().isNotEmpty()) Unit
-        ended = true
+        while (readLine().isNotEmpty()) Unit
+        isEnded = true
     }
 
-    private suspend fun line(): String =
+    private suspend fun readLine(): String =
         source.readLineStrict(MAX_LINE_BYTES) ?: throw EOFException("the connection ended within a chunked body")
 }
 
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/SlotUsage.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/CommittedSlots.kt
@@ -2,17 +2,17 @@
 package dev.bronzeshore.requests
 
 /** Counted slots per endpoint and per plan. */
-internal class SlotUsage(holders: Collection<SlotHolder>) {
+internal class CommittedSlots(holders: Collection<SlotHolder>) {
     private val byEndpoint = HashMap<String, Int>()
     private val byPlan = HashMap<String, Int>()
 
     init {
-        holders.forEach { holder -> holder.counted().forEach { (key, slots) -> add(key, slots) } }
+        holders.forEach { holder -> holder.committedSlots().forEach { (key, slots) -> add(key, slots) } }
     }
 
-    fun at(endpointId: String): Int = byEndpoint[endpointId] ?: 0
+    fun atEndpoint(endpointId: String): Int = byEndpoint[endpointId] ?: 0
 
-    fun of(plan: String): Int = byPlan[plan] ?: 0
+    fun ofPlan(plan: String): Int = byPlan[plan] ?: 0
 
     fun add(key: SlotKey, slots: Int) {
         byEndpoint.merge(key.endpointId, slots, Int::plus)
--- /dev/null
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/DecayedStatistics.kt
@@ -0,0 +1,40 @@
+/** Exponentially decayed statistics. */
+package dev.bronzeshore.requests
+
+import kotlin.math.exp
+
+/** Time-weighted mean of a level that changes in steps. */
+internal class DecayedLevel(private val windowMs: Double) {
+    private var mean = 0.0
+    private var level = 0.0
+    private var updatedAtMs = Long.MIN_VALUE
+
+    fun set(nowMs: Long, value: Int) {
+        mean = mean(nowMs)
+        level = value.toDouble()
+        updatedAtMs = nowMs
+    }
+
+    fun mean(nowMs: Long): Double {
+        if (nowMs <= updatedAtMs || updatedAtMs == Long.MIN_VALUE) return mean
+        return level + (mean - level) * exp(-(nowMs - updatedAtMs) / windowMs)
+    }
+}
+
+/** Events per millisecond. */
+internal class DecayedRate(private val windowMs: Double) {
+    private var weight = 0.0
+    private var updatedAtMs = Long.MIN_VALUE
+
+    fun record(nowMs: Long) {
+        weight = decayedWeight(nowMs) + 1
+        updatedAtMs = maxOf(updatedAtMs, nowMs)
+    }
+
+    fun perMs(nowMs: Long): Double = decayedWeight(nowMs) / windowMs
+
+    private fun decayedWeight(nowMs: Long): Double {
+        if (nowMs <= updatedAtMs || updatedAtMs == Long.MIN_VALUE) return weight
+        return weight * exp(-(nowMs - updatedAtMs) / windowMs)
+    }
+}
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/EndpointConnection.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/EndpointConnection.kt
@@ -16,9 +16,9 @@
     private val length = headers.firstOrNull { it.name.equals("Content-Length", ignoreCase = true) }?.value
 
     /** The head that is passed on; `Content-Length` is kept beside the headers, also in the answer to a HEAD. */
-    fun toAnswerHead(): ResponseHead {
-        val known = if (framing == Framing.Chunked) null else length?.trim()?.toLongOrNull()
-        return ResponseHead(status, headers.endToEnd(), known)
+    fun toResponseHead(): ResponseHead {
+        val knownLength = if (framing == Framing.Chunked) null else length?.trim()?.toLongOrNull()
+        return ResponseHead(status, headers.endToEnd(), knownLength)
     }
 }
 
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/FairPicker.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/FairPicker.kt
@@ -6,10 +6,10 @@
 import kotlin.math.sqrt
 
 /** State of a plan's slots at a service, for one decision. */
-internal class LaneView(val kinds: List<KindQueue>, val granted: Int, val free: Int, val nowMs: Long)
+internal class SharingState(val kinds: List<KindQueue>, val granted: Int, val free: Int, val nowMs: Long)
 
 /** Chooses the kind whose head gets the next free slot, or null to leave the slot free. */
-internal typealias KindPicker = (lane: LaneView) -> KindQueue?
+internal typealias KindPicker = (state: SharingState) -> KindQueue?
 
 /**
  * Gives free slots to kinds below their entitlement first, then to the kind with the lowest recent use for its weight.
@@ -19,20 +19,20 @@
  * recalled. That reserve is the mean use plus [reserveDeviations] standard deviations; null lends everything.
  */
 internal class FairPicker(private val reserveDeviations: Double? = RESERVE_DEVIATIONS) {
-    fun pick(lane: LaneView): KindQueue? {
-        val activeWeight = lane.kinds.sumOf { if (it.isActive) it.weight else 0 }
+    fun pick(state: SharingState): KindQueue? {
+        val activeWeight = state.kinds.sumOf { if (it.isActive) it.weight else 0 }
         var best: KindQueue? = null
-        var bestUnder = false
-        var bestUsage = 0.0
-        for (kind in lane.kinds) {
+        var isBestUnderEntitlement = false
+        var bestWeightedUsage = 0.0
+        for (kind in state.kinds) {
             if (kind.waiting == 0) continue
-            val under = kind.inUse < entitled(lane, kind, activeWeight)
-            val usage = kind.usage.mean(lane.nowMs) / kind.weight
-            val better = best == null || (under && !bestUnder) || (under == bestUnder && usage < bestUsage)
-            if (better && (under || lane.free > reserved(lane, kind, activeWeight))) {
+            val isUnderEntitlement = kind.inUse < entitlement(state, kind, activeWeight)
+            val weightedUsage = kind.usage.mean(state.nowMs) / kind.weight
+            val better = best == null || (isUnderEntitlement && !isBestUnderEntitlement) || (isUnderEntitlement == isBestUnderEntitlement && weightedUsage < bestWeightedUsage)
+            if (better && (isUnderEntitlement || state.free > reservedSlots(state, kind, activeWeight))) {
                 best = kind
-                bestUnder = under
-                bestUsage = usage
+                isBestUnderEntitlement = isUnderEntitlement
+                bestWeightedUsage = weightedUsage
             }
         }
         return best
@@ -40,22 +40,22 @@
 
     private val KindQueue.isActive: Boolean get() = waiting > 0 || inUse > 0
 
-    private fun entitled(lane: LaneView, kind: KindQueue, activeWeight: Int): Int {
+    private fun entitlement(state: SharingState, kind: KindQueue, activeWeight: Int): Int {
         val total = if (kind.isActive) activeWeight else activeWeight + kind.weight
-        return (lane.granted.toLong() * kind.weight / total).toInt()
+        return (state.granted.toLong() * kind.weight / total).toInt()
     }
 
     /** Slots that are kept free for interactive kinds other than [borrower]. */
-    private fun reserved(lane: LaneView, borrower: KindQueue, activeWeight: Int): Int {
+    private fun reservedSlots(state: SharingState, borrower: KindQueue, activeWeight: Int): Int {
         val deviations = reserveDeviations ?: return 0
-        if (!borrower.isOverflowing(lane.nowMs)) return 0
+        if (!borrower.isOverflowing(state.nowMs)) return 0
         var slots = 0
-        for (kind in lane.kinds) {
+        for (kind in state.kinds) {
             if (kind === borrower || kind.kind.policy != Policy.INTERACTIVE) continue
-            val mean = kind.usage.mean(lane.nowMs)
+            val mean = kind.usage.mean(state.nowMs)
             if (mean < MIN_USAGE) continue
             val needed = ceil(mean + deviations * sqrt(mean)).toInt()
-            slots += maxOf(0, minOf(needed, entitled(lane, kind, activeWeight)) - kind.inUse)
+            slots += maxOf(0, minOf(needed, entitlement(state, kind, activeWeight)) - kind.inUse)
         }
         return slots
     }
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/FloodScenario.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/FloodScenario.kt
@@ -50,7 +50,7 @@
     public val waitP99Micros: Long,
 ) {
     /** Part of what the kind asked for that was started. */
-    public val kept: Double get() = if (offered == 0L) 1.0 else started.toDouble() / offered
+    public val startedFraction: Double get() = if (offered == 0L) 1.0 else started.toDouble() / offered
 }
 
 /** Figures by kind, and the part of the slot time that was in use. */
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/FloodSimulation.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/FloodSimulation.kt
@@ -22,7 +22,7 @@
 
     private var nowMicros = START_MICROS
     private val events = PriorityQueue<Event>(compareBy { it.atMicros })
-    private val service = Random(setup.seed)
+    private val serviceTimeRandom = Random(setup.seed)
     private val clock = { nowMicros / MICROS_PER_MS }
     private val pool = SlotPool(clock, LatencyTracker(clock), Random(setup.seed + 1))
     private val queue = AdmissionQueue(clock, pool, setup.limits, pick)
@@ -48,7 +48,7 @@
             event.run()
         }
         val used = usedMicros.toDouble() / (slots * setup.runMs * MICROS_PER_MS)
-        return FloodReport(counts.map { figuresOf(it) }, used)
+        return FloodReport(counts.map { statsOf(it) }, used)
     }
 
     private fun prepare() {
@@ -91,18 +91,18 @@
                     is AdmissionDecision.Refused -> counts.expired++
                 }
             }
-        val fault = queue.standingRefusal(PLAN, counts.kind.name) ?: queue.enqueue(request)
+        val fault = queue.queueFullFault(PLAN, counts.kind.name) ?: queue.enqueue(request)
         if (fault != null) counts.refused++
     }
 
     private fun start(counts: Counts, request: QueuedRequest, lease: SlotLease, arrivedMicros: Long) {
         counts.waits.recordValue(minOf(nowMicros - arrivedMicros, MAX_WAIT_MICROS))
-        val tookMicros = exponential(service, setup.meanServiceMs * MICROS_PER_MS)
-        usedMicros += minOf(tookMicros, endMicros - nowMicros)
-        events.add(Event(nowMicros + tookMicros) { queue.release(request, lease) })
+        val serviceMicros = exponential(serviceTimeRandom, setup.meanServiceMs * MICROS_PER_MS)
+        usedMicros += minOf(serviceMicros, endMicros - nowMicros)
+        events.add(Event(nowMicros + serviceMicros) { queue.release(request, lease) })
     }
 
-    private fun figuresOf(counts: Counts): FloodKindStats = FloodKindStats(
+    private fun statsOf(counts: Counts): FloodKindStats = FloodKindStats(
         counts.kind.name,
         counts.offered,
         counts.waits.totalCount,
@@ -130,21 +130,21 @@
          * a refusal while the queue is full.
          */
         public fun decisionCost(rounds: Int = 1_000_000): DecisionCost {
-            val full = FloodSimulation(FloodScenario(limits = AdmissionLimits(waitingPerKind = 0)), FloodPolicy.FAIR)
-            val open = FloodSimulation(FloodScenario(), FloodPolicy.FAIR)
-            full.prepare()
-            full.queue.tick()
-            open.prepare()
+            val fullQueue = FloodSimulation(FloodScenario(limits = AdmissionLimits(maxWaitingPerKind = 0)), FloodPolicy.FAIR)
+            val openQueue = FloodSimulation(FloodScenario(), FloodPolicy.FAIR)
+            fullQueue.prepare()
+            fullQueue.queue.tick()
+            openQueue.prepare()
             repeat(2) {
-                open.serveNanos(rounds)
-                full.refuseNanos(rounds)
+                openQueue.serveNanos(rounds)
+                fullQueue.refuseNanos(rounds)
             }
-            return DecisionCost(open.serveNanos(rounds), full.refuseNanos(rounds))
+            return DecisionCost(openQueue.serveNanos(rounds), fullQueue.refuseNanos(rounds))
         }
     }
 
     private fun serveNanos(rounds: Int): Double {
-        val began = System.nanoTime()
+        val startNanos = System.nanoTime()
         repeat(rounds) {
             nowMicros += 1
             var lease: SlotLease? = null
@@ -155,27 +155,27 @@
             queue.enqueue(request)
             queue.release(request, checkNotNull(lease))
         }
-        return (System.nanoTime() - began).toDouble() / rounds
+        return (System.nanoTime() - startNanos).toDouble() / rounds
     }
 
     private fun refuseNanos(rounds: Int): Double {
-        val began = System.nanoTime()
+        val startNanos = System.nanoTime()
         repeat(rounds) {
             nowMicros += 1
-            val fault = queue.standingRefusal(PLAN, "interactive")
+            val fault = queue.queueFullFault(PLAN, "interactive")
             check(fault?.code == ResultCode.QUEUE_FULL)
         }
-        return (System.nanoTime() - began).toDouble() / rounds
+        return (System.nanoTime() - startNanos).toDouble() / rounds
     }
 }
 
 private fun pickerOf(policy: FloodPolicy): KindPicker = when (policy) {
     FloodPolicy.FAIR -> FairPicker()::pick
     FloodPolicy.FAIR_WITHOUT_RESERVE -> FairPicker(reserveDeviations = null)::pick
-    FloodPolicy.FIFO -> pickByHead { it.order }
+    FloodPolicy.FIFO -> pickByHead { it.sequence }
     FloodPolicy.STRICT_PRIORITY -> pickByHead { it.startBeforeMs }
 }
 
-private fun pickByHead(key: (QueuedRequest) -> Long): KindPicker = { lane ->
-    lane.kinds.filter { it.waiting > 0 }.minByOrNull { kind -> kind.head()?.let(key) ?: Long.MAX_VALUE }
+private fun pickByHead(key: (QueuedRequest) -> Long): KindPicker = { state ->
+    state.kinds.filter { it.waiting > 0 }.minByOrNull { kind -> kind.head()?.let(key) ?: Long.MAX_VALUE }
 }
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/HeldSlots.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/HeldSlots.kt
@@ -2,7 +2,7 @@
 package dev.bronzeshore.requests
 
 /** An allotment together with the requests in flight; kept while either is left. */
-internal class HeldSlots(val key: SlotKey, val dataCentre: String, val address: String, val lane: Lane) {
+internal class HeldSlots(val key: SlotKey, val dataCentre: String, val address: String, val servicePlan: ServicePlanSlots) {
     /** Like [inUse], changed by the lane only, which keeps the sums. */
     var slots: Int = 0
     var untilMs: Long = Long.MIN_VALUE
@@ -10,9 +10,9 @@
     val unused: Int get() = maxOf(0, slots - inUse)
 
     /** Position in the lane's list of candidates, or -1. */
-    var position: Int = -1
+    var candidateIndex: Int = -1
 
-    fun isFree(nowMs: Long): Boolean = inUse < slots && nowMs < untilMs
+    fun hasFreeSlot(nowMs: Long): Boolean = inUse < slots && nowMs < untilMs
 }
 
 /** A slot in use by one request, until it is given back to the pool. */
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/InFlightGate.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/InFlightTracker.kt
@@ -5,7 +5,7 @@
 import java.util.concurrent.atomic.AtomicInteger
 
 /** Lets requests in until it is closed, and tells when the last one has left. Thread-safe. */
-internal class InFlightGate {
+internal class InFlightTracker {
     /** Number of requests, plus [CLOSED] once closed. */
     private val state = AtomicInteger()
     private val drained = CompletableDeferred<Unit>()
@@ -13,16 +13,16 @@
     val inFlight: Int get() = state.get() and CLOSED.inv()
 
     /** Enters unless the gate is closed. */
-    fun tryEnter(): Boolean {
+    fun tryStart(): Boolean {
         val before = state.getAndUpdate { if (it and CLOSED != 0) it else it + 1 }
         return before and CLOSED == 0
     }
 
-    /** Leaves; each successful [tryEnter] is followed by exactly one call. */
-    fun leave(): Unit = check(tryLeave()) { "nothing is in flight" }
+    /** Leaves; each successful [tryStart] is followed by exactly one call. */
+    fun finish(): Unit = check(tryFinish()) { "nothing is in flight" }
 
     /** Leaves if anything is in flight. */
-    fun tryLeave(): Boolean {
+    fun tryFinish(): Boolean {
         val before = state.getAndUpdate { if (it and CLOSED.inv() == 0) it else it - 1 }
         if (before == CLOSED + 1) drained.complete(Unit)
         return before and CLOSED.inv() > 0
@@ -36,10 +36,10 @@
     suspend fun awaitDrained(): Unit = drained.await()
 
     /** True once the gate is closed and nothing is in flight. */
-    val isEmptyForGood: Boolean get() = state.get() == CLOSED
+    val isDrained: Boolean get() = state.get() == CLOSED
 
     /** True if [awaitDrained] returns at once. */
-    val isSignalled: Boolean get() = drained.isCompleted
+    val isDrainSignalled: Boolean get() = drained.isCompleted
 
     private companion object {
         const val CLOSED = 1 shl 30
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/IncomingRequest.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/IncomingRequest.kt
@@ -38,7 +38,7 @@
     public val endpointId: String? = null,
     public val waitedMs: Long = 0,
 ) {
-    internal fun routed(endpointId: String, waitedMs: Long) =
+    internal fun withRoute(endpointId: String, waitedMs: Long) =
         ResponseHead(status, headers, contentLength, endpointId, waitedMs)
 }
 
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/KindQueue.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/KindQueue.kt
@@ -20,9 +20,9 @@
 
     /** The fault of requests that arrive while the queue is full; the only field that other threads read. */
     @Volatile
-    var standingRefusal: Fault? = null
+    var queueFullFault: Fault? = null
         private set
-    private var overflowedAtMs = Long.MIN_VALUE / 2
+    private var lastOverflowAtMs = Long.MIN_VALUE / 2
     val weight: Int get() = maxOf(1, kind.weight)
 
     fun add(request: QueuedRequest) {
@@ -44,39 +44,39 @@
     }
 
     /** Takes note that a waiting request was cancelled; entries are removed in bulk, in constant time each. */
-    fun cancelled() {
+    fun recordCancellation() {
         waiting--
-        if (heap.size > 2 * waiting + MIN_DEAD_ENTRIES) heap.removeIf { it.state != QueuedState.WAITING }
+        if (heap.size > 2 * waiting + MIN_CANCELLED_ENTRIES) heap.removeIf { it.state != QueuedState.WAITING }
     }
 
     /** Takes note that a request was refused, or that it expired in the queue. */
-    fun overflowed(nowMs: Long) {
-        overflowedAtMs = nowMs
+    fun recordOverflow(nowMs: Long) {
+        lastOverflowAtMs = nowMs
     }
 
-    fun isOverflowing(nowMs: Long): Boolean = standingRefusal != null || nowMs - overflowedAtMs < OVERFLOW_MS
+    fun isOverflowing(nowMs: Long): Boolean = queueFullFault != null || nowMs - lastOverflowAtMs < OVERFLOW_MS
 
     /** To be called after [waiting] changed: refuses from now on, or no longer. */
-    fun updateStandingRefusal(limit: Int, nowMs: Long) {
-        val full = waiting >= limit
-        if (!full && standingRefusal == null) return
-        if (full) overflowed(nowMs)
-        standingRefusal = if (full) ResultCode.QUEUE_FULL.toFault(retryAtMs = drainedAtMs(nowMs)) else null
+    fun updateQueueFullFault(limit: Int, nowMs: Long) {
+        val isFull = waiting >= limit
+        if (!isFull && queueFullFault == null) return
+        if (isFull) recordOverflow(nowMs)
+        queueFullFault = if (isFull) ResultCode.QUEUE_FULL.toFault(retryAtMs = expectedDrainAtMs(nowMs)) else null
     }
 
-    fun started(nowMs: Long) {
-        starts.count(nowMs)
+    fun recordStart(nowMs: Long) {
+        starts.record(nowMs)
         inUse++
         usage.set(nowMs, inUse)
     }
 
-    fun ended(nowMs: Long) {
+    fun recordEnd(nowMs: Long) {
         inUse--
         usage.set(nowMs, inUse)
     }
 
     /** When the requests that wait now should have left the queue, by the recent rate of starts. */
-    fun drainedAtMs(nowMs: Long): Long {
+    fun expectedDrainAtMs(nowMs: Long): Long {
         val waitMs = waiting / maxOf(starts.perMs(nowMs), MIN_RATE_PER_MS)
         return nowMs + waitMs.toLong().coerceIn(MIN_RETRY_MS, MAX_RETRY_MS)
     }
@@ -85,7 +85,7 @@
         const val RATE_WINDOW_MS = 2_000.0
         const val USAGE_WINDOW_MS = 1_000.0
         const val OVERFLOW_MS = 1_000L
-        const val MIN_DEAD_ENTRIES = 64
+        const val MIN_CANCELLED_ENTRIES = 64
         const val MIN_RATE_PER_MS = 1e-3
         const val MIN_RETRY_MS = 100L
         const val MAX_RETRY_MS = 30_000L
@@ -93,7 +93,7 @@
         val BY_DEADLINE =
             Comparator<QueuedRequest> { a, b ->
                 val byDeadline = a.startBeforeMs.compareTo(b.startBeforeMs)
-                if (byDeadline != 0) byDeadline else a.order.compareTo(b.order)
+                if (byDeadline != 0) byDeadline else a.sequence.compareTo(b.sequence)
             }
     }
 }
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/LatencyTracker.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/LatencyTracker.kt
@@ -14,31 +14,31 @@
     private class Estimate(var latencyMs: Double, var observedAtMs: Long, var avoidUntilMs: Long)
 
     private val estimates = HashMap<String, Estimate>()
-    private var meanMs = INITIAL_MS
+    private var meanMs = INITIAL_LATENCY_MS
 
     /** Records how long an endpoint took to answer. */
-    fun answered(endpointId: String, latencyMs: Long) {
+    fun recordResponse(endpointId: String, latencyMs: Long) {
         val observedMs = maxOf(1.0, latencyMs.toDouble())
         val estimate = estimates.getOrPut(endpointId) { Estimate(observedMs, clock(), Long.MIN_VALUE) }
-        estimate.latencyMs += WEIGHT * (observedMs - estimate.latencyMs)
+        estimate.latencyMs += SMOOTHING * (observedMs - estimate.latencyMs)
         estimate.observedAtMs = clock()
         estimate.avoidUntilMs = Long.MIN_VALUE
-        meanMs += MEAN_WEIGHT * (observedMs - meanMs)
+        meanMs += MEAN_SMOOTHING * (observedMs - meanMs)
     }
 
     /** Records that an endpoint could not be reached; others are preferred for a while. */
-    fun failed(endpointId: String) {
+    fun recordFailure(endpointId: String) {
         val estimate = estimates.getOrPut(endpointId) { Estimate(meanMs, clock(), Long.MIN_VALUE) }
-        estimate.avoidUntilMs = clock() + AVOID_MS
+        estimate.avoidUntilMs = clock() + AVOID_AFTER_FAILURE_MS
     }
 
     /** Expected latency in milliseconds. */
     fun expectedMs(endpointId: String): Double {
         val estimate = estimates[endpointId] ?: return meanMs
         val nowMs = clock()
-        if (nowMs < estimate.avoidUntilMs) return FAILED_MS
+        if (nowMs < estimate.avoidUntilMs) return UNREACHABLE_LATENCY_MS
         val ageMs = maxOf(0L, nowMs - estimate.observedAtMs)
-        return meanMs + (estimate.latencyMs - meanMs) * exp(-ageMs / FORGET_MS)
+        return meanMs + (estimate.latencyMs - meanMs) * exp(-ageMs / DECAY_MS)
     }
 
     /** Forgets endpoints that are gone. */
@@ -47,13 +47,13 @@
     }
 
     private companion object {
-        const val INITIAL_MS = 10.0
-        const val WEIGHT = 0.2
-        const val MEAN_WEIGHT = 0.05
-        const val FORGET_MS = 10_000.0
+        const val INITIAL_LATENCY_MS = 10.0
+        const val SMOOTHING = 0.2
+        const val MEAN_SMOOTHING = 0.05
+        const val DECAY_MS = 10_000.0
 
         /** Longer than any answer, so that an unreachable endpoint is chosen only if there is no other. */
-        const val FAILED_MS = 1e9
-        const val AVOID_MS = 1_000L
+        const val UNREACHABLE_LATENCY_MS = 1e9
+        const val AVOID_AFTER_FAILURE_MS = 1_000L
     }
 }
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/QueuedRequest.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/QueuedRequest.kt
@@ -27,7 +27,7 @@
     val onDecision: (AdmissionDecision) -> Unit,
 ) {
     /** Position among requests with the same deadline. */
-    var order: Long = 0
+    var sequence: Long = 0
     var queue: KindQueue? = null
     var state: QueuedState = QueuedState.NEW
 }
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/ReplayableBody.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/ReplayableBody.kt
@@ -1,4 +1,4 @@
-/** The body of a caller's request, as far as possible kept for another attempt. */
+/** The body of a caller's request, as far as possible retained for another attempt. */
 package dev.bronzeshore.requests
 
 import io.ktor.utils.io.ByteReadChannel
@@ -12,33 +12,33 @@
 /** Thrown when the caller's side of an exchange failed, as opposed to the endpoint's. */
 internal class CallerGoneException(cause: Throwable) : Exception("the caller's connection failed: $cause", cause)
 
-/** Streams [source] to endpoints; with [keep], what was read is kept up to [REPLAY_LIMIT_BYTES]. */
-internal class ReplayableBody(private val source: ByteReadChannel, private val length: Long?, keep: Boolean) {
-    private var kept: ByteArrayOutputStream? = if (keep) ByteArrayOutputStream() else null
+/** Streams [source] to endpoints; with [keep], what was read is retained up to [REPLAY_LIMIT_BYTES]. */
+internal class ReplayableBody(private val source: ByteReadChannel, private val length: Long?, retain: Boolean) {
+    private var retained: ByteArrayOutputStream? = if (retain) ByteArrayOutputStream() else null
     private var readBytes = 0L
 
     /** True if another attempt can send the whole body. */
-    val isReplayable: Boolean get() = readBytes == 0L || kept != null
+    val isReplayable: Boolean get() = readBytes == 0L || retained != null
 
     suspend fun writeTo(sink: BodyWriter) {
-        kept?.let { sink.write(it.toByteArray(), it.size()) }
+        retained?.let { sink.write(it.toByteArray(), it.size()) }
         val buffer = if (length == 0L) return else ByteArray(COPY_BUFFER_BYTES)
         while (length == null || readBytes < length) {
             val count = readSource(buffer)
             if (count < 0) break
             readBytes += count
-            keep(buffer, count)
+            retain(buffer, count)
             sink.write(buffer, count)
-            if (source.mayWait()) sink.flush()
+            if (source.mightSuspend()) sink.flush()
         }
         sink.finish()
     }
 
     private suspend fun readSource(buffer: ByteArray): Int {
-        val most = if (length == null) buffer.size else minOf(buffer.size.toLong(), length - readBytes).toInt()
+        val maxBytes = if (length == null) buffer.size else minOf(buffer.size.toLong(), length - readBytes).toInt()
         val count =
             try {
-                source.readOrFail(buffer, most)
+                source.readOrFail(buffer, maxBytes)
             } catch (failure: IOException) {
                 throw CallerGoneException(failure)
             }
@@ -46,8 +46,8 @@
         return count
     }
 
-    private fun keep(buffer: ByteArray, count: Int) {
-        val target = kept ?: return
-        if (target.size() + count > REPLAY_LIMIT_BYTES) kept = null else target.write(buffer, 0, count)
+    private fun retain(buffer: ByteArray, count: Int) {
+        val target = retained ?: return
+        if (target.size() + count > REPLAY_LIMIT_BYTES) retained = null else target.write(buffer, 0, count)
     }
 }
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/RequestHeaders.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/RequestHeaders.kt
@@ -16,18 +16,18 @@
     )
 
 /** Set by the client for the endpoint's connection: the length is passed on beside the headers. */
-private val SET_BY_CLIENT = setOf("content-length", "host", "expect")
+private val SET_BY_PROXY = setOf("content-length", "host", "expect")
 
 /** Headers that are passed on: neither hop-by-hop ones nor those that `Connection` names. */
 internal fun List<HeaderLine>.endToEnd(): List<HeaderLine> {
-    val named =
+    val connectionHeaders =
         filter { it.name.equals("Connection", ignoreCase = true) }
             .flatMap { it.value.split(',') }
             .map { it.trim().lowercase() }
             .toSet()
     return filter { line ->
         val name = line.name.lowercase()
-        name !in HOP_BY_HOP && name !in SET_BY_CLIENT && name !in named
+        name !in HOP_BY_HOP && name !in SET_BY_PROXY && name !in connectionHeaders
     }
 }
 
@@ -35,10 +35,10 @@
 internal fun IncomingRequest.isWellFormed(): Boolean = method.isNotEmpty() &&
     method.all { it.isLetter() || it == '-' } &&
     pathAndQuery.startsWith('/') &&
-    pathAndQuery.none { it <= ' ' || it == DELETE } &&
-    headers.all { line -> line.name.isNotEmpty() && line.name.none { it <= ' ' || it == ':' } && line.hasOneLine() } &&
+    pathAndQuery.none { it <= ' ' || it == DELETE_CHARACTER } &&
+    headers.all { line -> line.name.isNotEmpty() && line.name.none { it <= ' ' || it == ':' } && line.isSingleLine() } &&
     (contentLength == null || contentLength >= 0)
 
-private const val DELETE = '\u007f'
+private const val DELETE_CHARACTER = '\u007f'
 
-private fun HeaderLine.hasOneLine(): Boolean = value.none { it == '\r' || it == '\n' || it == '\u0000' }
+private fun HeaderLine.isSingleLine(): Boolean = value.none { it == '\r' || it == '\n' || it == '\u0000' }
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/RequestProxy.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/RequestProxy.kt
@@ -24,8 +24,8 @@
  * two chunks as whole, and may complete a chunked body whose source failed. Bodies pass through a small buffer.
  * Cancelling the caller's coroutine closes the endpoint's connection.
  */
-public class RequestProxy(traffic: CoroutineDispatcher, private val clock: ClockMs) : AutoCloseable {
-    private val selector = SelectorManager(traffic)
+public class RequestProxy(ioDispatcher: CoroutineDispatcher, private val clock: ClockMs) : AutoCloseable {
+    private val selector = SelectorManager(ioDispatcher)
 
     override fun close(): Unit = selector.close()
 
@@ -64,7 +64,7 @@
         private val body: ReplayableBody,
         private val responder: Responder,
     ) {
-        private var begun = false
+        private var hasResponseStarted = false
         private var firstByteAtMs = 0L
 
         @Volatile private var callerFailure: CallerGoneException? = null
@@ -82,14 +82,14 @@
             }
         } catch (failure: Exception) {
             currentCoroutineContext().ensureActive()
-            endOf(failure)
+            toAttemptEnd(failure)
         }
 
-        private fun endOf(failure: Exception): AttemptEnd {
+        private fun toAttemptEnd(failure: Exception): AttemptEnd {
             val caller = callerFailure ?: failure as? CallerGoneException
             return when {
                 caller != null -> AttemptEnd.CallerGone(caller.message.orEmpty())
-                begun -> AttemptEnd.AnswerBroken(failure.toString())
+                hasResponseStarted -> AttemptEnd.AnswerBroken(failure.toString())
                 else -> AttemptEnd.Unanswered(failure.toString())
             }
         }
@@ -109,36 +109,36 @@
         private suspend fun receive(): Int {
             val head = connection.receiveHead(request.method)
             firstByteAtMs = clock()
-            begun = true
-            var broken: IOException? = null
+            hasResponseStarted = true
+            var endpointFailure: IOException? = null
             try {
-                responder(head.toAnswerHead()) { sink ->
+                responder(head.toResponseHead()) { sink ->
                     try {
-                        passOn(connection.reader(head), sink)
+                        streamBody(connection.reader(head), sink)
                     } catch (failure: EndpointFailure) {
-                        broken = failure
+                        endpointFailure = failure
                         throw failure
                     }
                 }
             } catch (failure: Exception) {
                 currentCoroutineContext().ensureActive()
-                throw broken ?: CallerGoneException(failure)
+                throw endpointFailure ?: CallerGoneException(failure)
             }
             return head.status
         }
 
-        private suspend fun passOn(reader: BodyReader, sink: ByteWriteChannel) {
+        private suspend fun streamBody(reader: BodyReader, sink: ByteWriteChannel) {
             val buffer = ByteArray(COPY_BUFFER_BYTES)
             while (true) {
-                val count = readAnswer(reader, buffer)
+                val count = readResponseBody(reader, buffer)
                 if (count < 0) break
                 sink.writeFully(buffer, 0, count)
-                if (reader.mayWait) sink.flush()
+                if (reader.mightSuspend) sink.flush()
             }
             sink.flush()
         }
 
-        private suspend fun readAnswer(reader: BodyReader, buffer: ByteArray): Int = try {
+        private suspend fun readResponseBody(reader: BodyReader, buffer: ByteArray): Int = try {
             reader.read(buffer)
         } catch (failure: CancellationException) {
             currentCoroutineContext().ensureActive()
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/RequestRouter.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/RequestRouter.kt
@@ -39,20 +39,20 @@
     private val pool = SlotPool(clock, latency, random)
     private val queue = AdmissionQueue(clock, pool, limits.admission)
     private val retries = RetryBudget()
-    private val gate = InFlightGate()
-    private var askedAtMs = Long.MIN_VALUE / 2
+    private val tracker = InFlightTracker()
+    private var shortageReportedAtMs = Long.MIN_VALUE / 2
 
     /** Requests accepted and not yet ended. */
-    public val inFlight: Int get() = gate.inFlight
+    public val inFlight: Int get() = tracker.inFlight
 
     /** Takes over the plans with their kinds. */
     public suspend fun configure(plans: List<Plan>): Unit = withContext(control) { queue.configure(plans) }
 
     /** Puts an owner's answer in force; true means that the next request to it should follow at once. */
     public suspend fun apply(dataCentre: String, allotments: Allotments): Boolean = withContext(control) {
-        val confirm = pool.apply(dataCentre, allotments)
+        val mustConfirm = pool.apply(dataCentre, allotments)
         queue.slotsChanged()
-        confirm
+        mustConfirm
     }
 
     /** Replaces the endpoints that get no new request; requests in flight there go on. */
@@ -70,9 +70,9 @@
 
     /** Slots wanted by service and plan, over all data centres. */
     public suspend fun demand(): List<SlotDemand> = withContext(control) {
-        queue.laneKeys().map { key ->
+        queue.servicePlans().map { key ->
             val inUse = pool.inUse(key.service, key.plan)
-            SlotDemand(key.service, key.plan, inUse + unmet(key, inUse), inUse)
+            SlotDemand(key.service, key.plan, inUse + unmetDemand(key, inUse), inUse)
         }
     }
 
@@ -80,12 +80,12 @@
     public suspend fun allotmentRequest(dataCentre: String, processId: String): AllotmentRequest =
         withContext(control) {
             val demand =
-                queue.laneKeys().map { key ->
+                queue.servicePlans().map { key ->
                     val inUse = pool.inUse(dataCentre, key.service, key.plan)
-                    val unmet = unmet(key, pool.inUse(key.service, key.plan))
+                    val unmet = unmetDemand(key, pool.inUse(key.service, key.plan))
                     SlotDemand(key.service, key.plan, inUse + unmet, inUse)
                 }
-            pool.request(dataCentre, processId, demand)
+            pool.allotmentRequest(dataCentre, processId, demand)
         }
 
     /**
@@ -97,33 +97,33 @@
      */
     public suspend fun route(request: IncomingRequest, responder: Responder): Either<Fault, RouteReport> {
         if (!request.isWellFormed()) return ResultCode.INVALID_VALUE.toFault("method, path or header").left()
-        queue.standingRefusal(request.plan, request.kind)?.let { return it.left() }
-        if (!gate.tryEnter()) return ResultCode.STOPPING.toFault().left()
+        queue.queueFullFault(request.plan, request.kind)?.let { return it.left() }
+        if (!tracker.tryStart()) return ResultCode.STOPPING.toFault().left()
         try {
             return RoutedRequest(request, responder, control, proxy, decisions).run()
         } finally {
-            gate.leave()
+            tracker.finish()
         }
     }
 
     /** From now on requests are refused as `STOPPING`; those accepted before go on. */
-    public fun stopAccepting(): Unit = gate.close()
+    public fun stopAccepting(): Unit = tracker.close()
 
     /** Waits after [stopAccepting] until no request is in flight; returns how many are left at [deadlineMs]. */
     public suspend fun awaitInFlight(deadlineMs: Long): Int {
-        withTimeoutOrNull(deadlineMs - clock()) { gate.awaitDrained() }
-        return gate.inFlight
+        withTimeoutOrNull(deadlineMs - clock()) { tracker.awaitDrained() }
+        return tracker.inFlight
     }
 
-    private val decisions = RouteDecisions(clock, queue, latency, retries, limits, ::askIfNone)
+    private val decisions = RouteDecisions(clock, queue, latency, retries, limits, ::reportSlotShortage)
 
-    private fun unmet(key: LaneKey, inUse: Int): Int =
+    private fun unmetDemand(key: ServicePlanKey, inUse: Int): Int =
         maxOf(queue.waiting(key.service, key.plan), pool.peakInUse(key.service, key.plan) - inUse)
 
-    private fun askIfNone() {
+    private fun reportSlotShortage() {
         val nowMs = clock()
-        if (nowMs < askedAtMs + SLOT_SHORTAGE_PERIOD_MS) return
-        askedAtMs = nowMs
+        if (nowMs < shortageReportedAtMs + SLOT_SHORTAGE_PERIOD_MS) return
+        shortageReportedAtMs = nowMs
         onSlotShortage()
     }
 
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/RetryBudget.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/RetryBudget.kt
@@ -9,12 +9,12 @@
 internal class RetryBudget {
     private var tenths = INITIAL_RETRIES * TENTHS_PER_RETRY
 
-    fun succeeded() {
+    fun recordSuccess() {
         tenths = minOf(tenths + 1, MAX_RETRIES * TENTHS_PER_RETRY)
     }
 
     /** Takes a retry from the budget if there is one. */
-    fun tryRetry(): Boolean {
+    fun tryAcquire(): Boolean {
         if (tenths < TENTHS_PER_RETRY) return false
         tenths -= TENTHS_PER_RETRY
         return true
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/RouteDecisions.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/RouteDecisions.kt
@@ -30,7 +30,7 @@
     private val latency: LatencyTracker,
     private val retries: RetryBudget,
     private val limits: RouterLimits,
-    private val noSlotFree: () -> Unit,
+    private val onNoFreeSlot: () -> Unit,
 ) {
     /** The latest start of a request that arrives now. */
     fun startBeforeMs(request: IncomingRequest): Long = request.startBeforeMs ?: (clock() + limits.maxWaitMs)
@@ -39,27 +39,27 @@
         val admission = Admission(request, startBeforeMs)
         val fault = if (attempt == 1) queue.enqueue(admission.queued) else queue.requeue(admission.queued)
         if (fault != null) return fault.left()
-        if (admission.queued.state == QueuedState.WAITING) noSlotFree()
+        if (admission.queued.state == QueuedState.WAITING) onNoFreeSlot()
         return admission.right()
     }
 
     /** Gives back whatever the admission holds, also if its decision was not seen by the caller. */
-    fun giveUp(admission: Admission) {
+    fun cancel(admission: Admission) {
         if (queue.cancel(admission.queued)) return
         admission.lease?.let { queue.release(admission.queued, it) }
     }
 
     /** Records how an attempt ended and frees its slot. */
-    fun ended(admission: Admission, lease: SlotLease, sentAtMs: Long, end: AttemptEnd) {
+    fun recordAttemptEnd(admission: Admission, lease: SlotLease, sentAtMs: Long, end: AttemptEnd) {
         when (end) {
             is AttemptEnd.Answered -> {
-                latency.answered(lease.endpointId, end.firstByteAtMs - sentAtMs)
-                retries.succeeded()
+                latency.recordResponse(lease.endpointId, end.firstByteAtMs - sentAtMs)
+                retries.recordSuccess()
             }
 
-            is AttemptEnd.NotSent -> if (!end.isReachable) latency.failed(lease.endpointId)
+            is AttemptEnd.NotSent -> if (!end.isReachable) latency.recordFailure(lease.endpointId)
 
-            is AttemptEnd.Unanswered -> latency.failed(lease.endpointId)
+            is AttemptEnd.Unanswered -> latency.recordFailure(lease.endpointId)
 
             is AttemptEnd.AnswerBroken, is AttemptEnd.CallerGone -> Unit
         }
@@ -67,13 +67,13 @@
     }
 
     /** Says whether another attempt may follow one that ended without an answer. */
-    fun mayRetry(request: IncomingRequest, body: ReplayableBody, end: AttemptEnd, attempts: Int): Boolean = when {
+    fun canRetry(request: IncomingRequest, body: ReplayableBody, end: AttemptEnd, attempts: Int): Boolean = when {
         attempts >= limits.maxAttempts -> false
 
         // Nothing was sent, so this attempt neither ran nor loaded an endpoint.
         end is AttemptEnd.NotSent -> body.isReplayable
 
-        end is AttemptEnd.Unanswered -> request.idempotent && body.isReplayable && retries.tryRetry()
+        end is AttemptEnd.Unanswered -> request.idempotent && body.isReplayable && retries.tryAcquire()
 
         else -> false
     }
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/RoutedRequest.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/RoutedRequest.kt
@@ -20,7 +20,7 @@
     private val proxy: RequestProxy,
     private val decisions: RouteDecisions,
 ) {
-    private val body = ReplayableBody(request.body, request.contentLength, keep = request.idempotent)
+    private val body = ReplayableBody(request.body, request.contentLength, retain = request.idempotent)
     private val startBeforeMs = decisions.startBeforeMs(request)
     private var waitedMs = 0L
     private var attempts = 0
@@ -34,15 +34,15 @@
             // Not cancellable, since a cancelled call would lose the slot that it was just given.
             val admission =
                 withContext(NonCancellable + control) { decisions.admit(request, startBeforeMs, attempts) }
-                    .getOrElse { return checked(it).left() }
-            val next = attempt(admission)
-            if (next != null) return next.mapLeft { checked(it) }
+                    .getOrElse { return adjustOutcome(it).left() }
+            val result = attempt(admission)
+            if (result != null) return result.mapLeft { adjustOutcome(it) }
         }
     }
 
     /** Returns null if another attempt is to follow. */
     private suspend fun attempt(admission: Admission): Either<Fault, RouteReport>? {
-        var held: Admission? = admission
+        var openAdmission: Admission? = admission
         try {
             val queuedAtMs = decisions.clock()
             val lease =
@@ -55,27 +55,27 @@
             if (sentAtMs > startBeforeMs) return ResultCode.DEADLINE_PASSED.toFault().left()
             val sendByMs = minOf(startBeforeMs, lease.sendBeforeMs - 1)
             val end = proxy.attempt(lease.address, request, body, sendByMs) { head, writeBody ->
-                responder(head.routed(lease.endpointId, waitedMs), writeBody)
+                responder(head.withRoute(lease.endpointId, waitedMs), writeBody)
             }
             if (end !is AttemptEnd.NotSent) mayHaveRun = true
             return withContext(NonCancellable + control) {
-                held = null
-                decisions.ended(admission, lease, sentAtMs, end)
+                openAdmission = null
+                decisions.recordAttemptEnd(admission, lease, sentAtMs, end)
                 resultOf(lease, end)
             }
         } finally {
-            held?.let { withContext(NonCancellable + control) { decisions.giveUp(it) } }
+            openAdmission?.let { withContext(NonCancellable + control) { decisions.cancel(it) } }
         }
     }
 
     private fun resultOf(lease: SlotLease, end: AttemptEnd): Either<Fault, RouteReport>? = when {
         end is AttemptEnd.Answered -> RouteReport(lease.endpointId, end.status, waitedMs, attempts).right()
-        decisions.mayRetry(request, body, end, attempts) -> null
+        decisions.canRetry(request, body, end, attempts) -> null
         else -> decisions.faultOf(end, mayHaveRun).left()
     }
 
     /** A refusal that follows an attempt which may have run does not say "not run". */
-    private fun checked(fault: Fault): Fault {
+    private fun adjustOutcome(fault: Fault): Fault {
         if (!mayHaveRun || fault.code.outcome != Outcome.NOT_RUN) return fault
         return ResultCode.OUTCOME_UNKNOWN.toFault("then ${fault.code.number}: ${fault.message}")
     }
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/Lane.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/ServicePlanSlots.kt
@@ -1,14 +1,14 @@
 /** The endpoints at which one plan's requests to one service may start. */
 package dev.bronzeshore.requests
 
-internal data class LaneKey(val service: String, val plan: String)
+internal data class ServicePlanKey(val service: String, val plan: String)
 
 /** Candidates with a free slot, kept so that adding and removing one takes constant time. */
-internal class Lane(val key: LaneKey) {
-    private val open = ArrayList<HeldSlots>()
+internal class ServicePlanSlots(val key: ServicePlanKey) {
+    private val candidateList = ArrayList<HeldSlots>()
 
     /** Endpoints that had a free slot when last updated; deadlines may have passed since. */
-    val candidates: List<HeldSlots> get() = open
+    val candidates: List<HeldSlots> get() = candidateList
     var inUse: Int = 0
         private set
 
@@ -21,10 +21,10 @@
         private set
     private var windowStartMs = Long.MIN_VALUE / 2
     private var peakInUse = 0
-    private var lastPeakInUse = 0
+    private var previousPeakInUse = 0
 
     fun changeInUse(held: HeldSlots, change: Int, nowMs: Long) {
-        rotate(nowMs)
+        rotatePeakWindow(nowMs)
         free -= held.unused
         held.inUse += change
         free += held.unused
@@ -41,36 +41,36 @@
 
     /** Most slots in use at a time during the last one to two windows. */
     fun peakInUse(nowMs: Long): Int {
-        rotate(nowMs)
-        return maxOf(peakInUse, lastPeakInUse)
+        rotatePeakWindow(nowMs)
+        return maxOf(peakInUse, previousPeakInUse)
     }
 
-    private fun rotate(nowMs: Long) {
+    private fun rotatePeakWindow(nowMs: Long) {
         if (nowMs - PEAK_WINDOW_MS < windowStartMs) return
-        lastPeakInUse = if (nowMs - 2 * PEAK_WINDOW_MS < windowStartMs) peakInUse else inUse
+        previousPeakInUse = if (nowMs - 2 * PEAK_WINDOW_MS < windowStartMs) peakInUse else inUse
         peakInUse = inUse
         windowStartMs = nowMs
     }
 
     /** Adds or removes [held], whichever its state asks for. */
-    fun update(held: HeldSlots, nowMs: Long) {
-        val isFree = held.isFree(nowMs)
-        if (isFree && held.position < 0) add(held)
-        if (!isFree && held.position >= 0) remove(held)
+    fun updateCandidate(held: HeldSlots, nowMs: Long) {
+        val hasFreeSlot = held.hasFreeSlot(nowMs)
+        if (hasFreeSlot && held.candidateIndex < 0) add(held)
+        if (!hasFreeSlot && held.candidateIndex >= 0) remove(held)
     }
 
     private fun add(held: HeldSlots) {
-        held.position = open.size
-        open.add(held)
+        held.candidateIndex = candidateList.size
+        candidateList.add(held)
     }
 
     private fun remove(held: HeldSlots) {
-        val last = open.removeAt(open.lastIndex)
+        val last = candidateList.removeAt(candidateList.lastIndex)
         if (last !== held) {
-            open[held.position] = last
-            last.position = held.position
+            candidateList[held.candidateIndex] = last
+            last.candidateIndex = held.candidateIndex
         }
-        held.position = -1
+        held.candidateIndex = -1
     }
 
     private companion object {
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/SlotAllocator.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/SlotAllocator.kt
@@ -43,12 +43,12 @@
         if (request.dataCentre != dataCentre || untilMs <= nowMs) return Allotments(emptyList())
         holders.values.removeAll { it.isExpired(nowMs) }
         val holder = holders.getOrPut(request.processId) { SlotHolder(request.processId) }
-        if (!holder.report(request, nowMs)) return Allotments(emptyList())
-        val usage = SlotUsage(holders.values)
+        if (!holder.recordReport(request, nowMs)) return Allotments(emptyList())
+        val committed = CommittedSlots(holders.values)
         val demands = DemandTotals(holders.values)
         val granted = LinkedHashMap<SlotKey, Int>()
         for ((service, demand) in request.demand.groupBy { it.service }) {
-            val placer = SlotPlacer(endpointsOf(service), holder, usage)
+            val placer = SlotPlacer(endpointsOf(service), holder, committed)
             val shares = sharesOf(service, request.processId, demands)
             for (plan in demand.map { it.plan }.distinct()) {
                 val allowed = allowances[plan]?.slots ?: 0
@@ -61,13 +61,13 @@
     /** Slots that may be in use at an endpoint now, by any process. */
     public fun committedAt(endpointId: String): Int {
         holders.values.removeAll { it.isExpired(clock()) }
-        return SlotUsage(holders.values).at(endpointId)
+        return CommittedSlots(holders.values).atEndpoint(endpointId)
     }
 
     private fun grant(holder: SlotHolder, granted: Map<SlotKey, Int>, untilMs: Long): Allotments {
         // Follows the clock so that ids also grow from one owner to the next.
         lastGrantId = maxOf(lastGrantId + 1, clock())
-        holder.add(SlotGrant(lastGrantId, untilMs, granted))
+        holder.addGrant(SlotGrant(lastGrantId, untilMs, granted))
         val list =
             granted.map { (key, slots) ->
                 val endpoint = endpoints.getValue(key.endpointId)
@@ -80,35 +80,35 @@
         endpoints.values.filter { it.service == service && !it.leaving }
 
     private fun sharesOf(service: String, processId: String, demand: DemandTotals): Map<String, Int> {
-        val wants = holders.values.flatMap { holder -> wantsOf(holder, service, demand) }
-        ShareDivider(endpointsOf(service).sumOf { it.slots }, wants).divide()
-        return wants.filter { it.processId == processId }.associate { it.plan to it.share }
+        val shareDemands = holders.values.flatMap { holder -> shareDemandsOf(holder, service, demand) }
+        ShareDivider(endpointsOf(service).sumOf { it.slots }, shareDemands).divide()
+        return shareDemands.filter { it.processId == processId }.associate { it.plan to it.share }
     }
 
-    private fun wantsOf(holder: SlotHolder, service: String, demand: DemandTotals): List<ShareWant> = holder.demand
+    private fun shareDemandsOf(holder: SlotHolder, service: String, demand: DemandTotals): List<ShareDemand> = holder.demand
         .filter { it.service == service && it.plan in allowances }
         .distinctBy { it.plan }
         .map { wanted ->
             val allowance = allowances.getValue(wanted.plan)
             val allowed = demand.allowedAt(service, allowance)
-            ShareWant(holder.processId, wanted.plan, wanted.wanted, maxOf(1, allowance.weight), allowed)
+            ShareDemand(holder.processId, wanted.plan, wanted.wanted, maxOf(1, allowance.weight), allowed)
         }
 
     /** Demand of all processes, by which a plan's allowance is split between the services that it asks for. */
     private class DemandTotals(holders: Collection<SlotHolder>) {
         private val byPlan = HashMap<String, Long>()
-        private val byLane = HashMap<LaneKey, Long>()
+        private val byServicePlan = HashMap<ServicePlanKey, Long>()
 
         init {
             for (demand in holders.flatMap { it.demand }) {
                 // The standing slot of an idle process counts as demand for one.
                 byPlan.merge(demand.plan, demand.wanted + 1L, Long::plus)
-                byLane.merge(LaneKey(demand.service, demand.plan), demand.wanted + 1L, Long::plus)
+                byServicePlan.merge(ServicePlanKey(demand.service, demand.plan), demand.wanted + 1L, Long::plus)
             }
         }
 
         fun allowedAt(service: String, allowance: Allowance): Int {
-            val here = byLane[LaneKey(service, allowance.plan)] ?: 0L
+            val here = byServicePlan[ServicePlanKey(service, allowance.plan)] ?: 0L
             val total = byPlan[allowance.plan] ?: 1L
             return -Math.floorDiv(-allowance.slots * here, total).toInt()
         }
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/SlotHolder.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/SlotHolder.kt
@@ -18,36 +18,36 @@
         private set
     private var lastSequence = Long.MIN_VALUE
     private var inUse: Map<SlotKey, Int> = emptyMap()
-    private var heldUntilMs = Long.MIN_VALUE
+    private var committedUntilMs = Long.MIN_VALUE
     private val grants = ArrayDeque<SlotGrant>()
 
     /** Takes a report; returns false if a later one was taken before. */
-    fun report(request: AllotmentRequest, nowMs: Long): Boolean {
+    fun recordReport(request: AllotmentRequest, nowMs: Long): Boolean {
         if (request.sequence < lastSequence) return false
         lastSequence = request.sequence
         demand = request.demand
         inUse = request.inUse.associate { SlotKey(it.endpointId, it.plan) to it.slots }
-        heldUntilMs = maxOf(heldUntilMs, nowMs + GRANT_DURATION_MS)
+        committedUntilMs = maxOf(committedUntilMs, nowMs + GRANT_DURATION_MS)
         grants.removeAll { it.id < request.appliedGrantId }
         return true
     }
 
-    fun add(grant: SlotGrant) {
+    fun addGrant(grant: SlotGrant) {
         grants.addLast(grant)
-        heldUntilMs = maxOf(heldUntilMs, grant.untilMs)
+        committedUntilMs = maxOf(committedUntilMs, grant.untilMs)
         if (grants.size > MAX_GRANTS) mergeOldest()
     }
 
     /** True once nothing of the process counts any longer. */
-    fun isExpired(nowMs: Long): Boolean = nowMs >= heldUntilMs + MAX_CLOCK_SKEW_MS
+    fun isExpired(nowMs: Long): Boolean = nowMs >= committedUntilMs + MAX_CLOCK_SKEW_MS
 
     fun inUse(key: SlotKey): Int = inUse[key] ?: 0
 
     /** The most slots that the process may have in use, by endpoint and plan. */
-    fun counted(): Map<SlotKey, Int> {
-        val counted = HashMap(inUse)
-        for (grant in grants) counted.raiseTo(grant.slots)
-        return counted
+    fun committedSlots(): Map<SlotKey, Int> {
+        val committed = HashMap(inUse)
+        for (grant in grants) committed.mergeMax(grant.slots)
+        return committed
     }
 
     /** Bounds the memory for a process that asks and never confirms. */
@@ -55,11 +55,11 @@
         val first = grants.removeFirst()
         val second = grants.removeFirst()
         val slots = HashMap(first.slots)
-        slots.raiseTo(second.slots)
+        slots.mergeMax(second.slots)
         grants.addFirst(SlotGrant(second.id, second.untilMs, slots))
     }
 
-    private fun HashMap<SlotKey, Int>.raiseTo(slots: Map<SlotKey, Int>) {
+    private fun HashMap<SlotKey, Int>.mergeMax(slots: Map<SlotKey, Int>) {
         slots.forEach { (key, count) -> merge(key, count, ::maxOf) }
     }
 
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/SlotPlacer.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/SlotPlacer.kt
@@ -1,13 +1,13 @@
 /** Chooses the endpoints at which a process gets its share. */
 package dev.bronzeshore.requests
 
-/** Places shares of one [holder] on the [endpoints] of one service and adds them to [usage]. */
+/** Places shares of one [holder] on the [endpoints] of one service and adds them to [committed]. */
 internal class SlotPlacer(
     private val endpoints: List<EndpointSlots>,
     private val holder: SlotHolder,
-    private val usage: SlotUsage,
+    private val committed: CommittedSlots,
 ) {
-    private val counted = holder.counted()
+    private val heldBefore = holder.committedSlots()
 
     /** Returns the slots of [plan] by endpoint: at most [target] in all, and never more than [allowed] permits. */
     fun place(plan: String, target: Int, allowed: Int): Map<SlotKey, Int> {
@@ -15,8 +15,8 @@
         for (endpoint in endpoints) {
             val key = SlotKey(endpoint.id, plan)
             // An endpoint whose number of slots was lowered must shed the excess.
-            val excess = maxOf(0, usage.at(endpoint.id) - endpoint.slots)
-            slots[key] = maxOf(0, (counted[key] ?: 0) - excess)
+            val excess = maxOf(0, committed.atEndpoint(endpoint.id) - endpoint.slots)
+            slots[key] = maxOf(0, (heldBefore[key] ?: 0) - excess)
         }
         shrink(slots, target)
         grow(slots, target, allowed)
@@ -38,11 +38,11 @@
     private fun grow(slots: MutableMap<SlotKey, Int>, target: Int, allowed: Int) {
         var missing = target - slots.values.sum()
         while (missing > 0) {
-            val endpoint = endpoints.maxByOrNull { it.slots - usage.at(it.id) } ?: return
+            val endpoint = endpoints.maxByOrNull { it.slots - committed.atEndpoint(it.id) } ?: return
             val key = SlotKey(endpoint.id, slots.keys.first().plan)
-            if (usage.at(endpoint.id) >= endpoint.slots || usage.of(key.plan) >= allowed) return
+            if (committed.atEndpoint(endpoint.id) >= endpoint.slots || committed.ofPlan(key.plan) >= allowed) return
             slots.merge(key, 1, Int::plus)
-            usage.add(key, 1)
+            committed.add(key, 1)
             missing--
         }
     }
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/SlotPool.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/SlotPool.kt
@@ -12,7 +12,7 @@
  */
 internal class SlotPool(private val clock: ClockMs, private val latency: LatencyTracker, random: Random) {
     private val held = LinkedHashMap<SlotKey, HeldSlots>()
-    private val lanes = LinkedHashMap<LaneKey, Lane>()
+    private val servicePlans = LinkedHashMap<ServicePlanKey, ServicePlanSlots>()
     private val inUseAt = HashMap<String, Int>()
     private val leaving = HashSet<String>()
     private val grantIds = HashMap<String, Long>()
@@ -30,32 +30,32 @@
         grantIds[dataCentre] = allotments.grantId
         val granted = allotments.list.associateBy { SlotKey(it.endpointId, it.plan) }
         val nowMs = clock()
-        var shrunk = false
+        var isReduced = false
         for (entry in held.values.filter { it.dataCentre == dataCentre }) {
             val slots = granted[entry.key]?.slots ?: 0
-            if (slots < entry.slots) shrunk = true
-            entry.lane.setSlots(entry, slots)
+            if (slots < entry.slots) isReduced = true
+            entry.servicePlan.setSlots(entry, slots)
             updateEntry(entry, nowMs)
         }
         for ((key, allotment) in granted) {
             val entry = entryOf(key, dataCentre, allotment)
             entry.untilMs = allotment.untilMs
-            entry.lane.setSlots(entry, allotment.slots)
+            entry.servicePlan.setSlots(entry, allotment.slots)
             updateEntry(entry, nowMs)
         }
-        return shrunk
+        return isReduced
     }
 
     /** Takes a slot for a request of [plan] to [service], or returns null if none is free. */
     fun take(service: String, plan: String): SlotLease? {
-        val lane = lanes[LaneKey(service, plan)] ?: return null
+        val servicePlan = servicePlans[ServicePlanKey(service, plan)] ?: return null
         val nowMs = clock()
-        while (lane.candidates.isNotEmpty()) {
-            val entry = chooser.choose(lane.candidates)
-            val free = entry.isFree(nowMs)
-            if (free) changeInUse(entry, 1)
-            lane.update(entry, nowMs)
-            if (free) return SlotLease(entry)
+        while (servicePlan.candidates.isNotEmpty()) {
+            val entry = chooser.choose(servicePlan.candidates)
+            val hasFreeSlot = entry.hasFreeSlot(nowMs)
+            if (hasFreeSlot) changeInUse(entry, 1)
+            servicePlan.updateCandidate(entry, nowMs)
+            if (hasFreeSlot) return SlotLease(entry)
         }
         return null
     }
@@ -69,22 +69,22 @@
     }
 
     /** Slots that are granted for a plan's requests to a service and not in use. */
-    fun free(service: String, plan: String): Int = lanes[LaneKey(service, plan)]?.free ?: 0
+    fun free(service: String, plan: String): Int = servicePlans[ServicePlanKey(service, plan)]?.free ?: 0
 
     /** Requests of a plan in flight at a service's endpoints. */
-    fun inUse(service: String, plan: String): Int = lanes[LaneKey(service, plan)]?.inUse ?: 0
+    fun inUse(service: String, plan: String): Int = servicePlans[ServicePlanKey(service, plan)]?.inUse ?: 0
 
     /** Slots granted for a plan's requests to a service, in use or not. */
-    fun granted(service: String, plan: String): Int = lanes[LaneKey(service, plan)]?.granted ?: 0
+    fun granted(service: String, plan: String): Int = servicePlans[ServicePlanKey(service, plan)]?.granted ?: 0
 
     /** Requests of a plan in flight at a service's endpoints in one data centre. */
     fun inUse(dataCentre: String, service: String, plan: String): Int {
-        val lane = lanes[LaneKey(service, plan)] ?: return 0
-        return held.values.sumOf { if (it.lane === lane && it.dataCentre == dataCentre) it.inUse else 0 }
+        val servicePlan = servicePlans[ServicePlanKey(service, plan)] ?: return 0
+        return held.values.sumOf { if (it.servicePlan === servicePlan && it.dataCentre == dataCentre) it.inUse else 0 }
     }
 
     /** Most requests in flight at a time within about the last second. */
-    fun peakInUse(service: String, plan: String): Int = lanes[LaneKey(service, plan)]?.peakInUse(clock()) ?: 0
+    fun peakInUse(service: String, plan: String): Int = servicePlans[ServicePlanKey(service, plan)]?.peakInUse(clock()) ?: 0
 
     /** Replaces the endpoints that get no new request, whatever was granted. */
     fun setLeaving(endpointIds: Set<String>) {
@@ -97,13 +97,13 @@
     fun dropExpired() {
         val nowMs = clock()
         for (entry in held.values.filter { nowMs >= it.untilMs }) {
-            entry.lane.setSlots(entry, 0)
+            entry.servicePlan.setSlots(entry, 0)
             updateEntry(entry, nowMs)
         }
     }
 
     /** The request that asks a data centre's owner for slots. */
-    fun request(dataCentre: String, processId: String, demand: List<SlotDemand>): AllotmentRequest {
+    fun allotmentRequest(dataCentre: String, processId: String, demand: List<SlotDemand>): AllotmentRequest {
         // Follows the clock so that a restarted process continues above the numbers it used before.
         lastSequence = maxOf(lastSequence + 1, clock())
         val inUse =
@@ -116,28 +116,28 @@
 
     private fun entryOf(key: SlotKey, dataCentre: String, allotment: SlotAllotment): HeldSlots {
         val current = held[key]
-        val lane = lanes.getOrPut(LaneKey(allotment.service, key.plan)) { Lane(LaneKey(allotment.service, key.plan)) }
-        if (current != null && current.address == allotment.address && current.lane === lane) return current
+        val servicePlan = servicePlans.getOrPut(ServicePlanKey(allotment.service, key.plan)) { ServicePlanSlots(ServicePlanKey(allotment.service, key.plan)) }
+        if (current != null && current.address == allotment.address && current.servicePlan === servicePlan) return current
         if (current != null) retire(current)
-        val entry = HeldSlots(key, dataCentre, allotment.address, lane)
+        val entry = HeldSlots(key, dataCentre, allotment.address, servicePlan)
         held[key] = entry
         return entry
     }
 
     /** Takes out an entry whose endpoint was replaced under the same id. */
     private fun retire(entry: HeldSlots) {
-        entry.lane.setSlots(entry, 0)
-        entry.lane.update(entry, clock())
+        entry.servicePlan.setSlots(entry, 0)
+        entry.servicePlan.updateCandidate(entry, clock())
     }
 
     private fun updateEntry(entry: HeldSlots, nowMs: Long) {
-        if (entry.key.endpointId in leaving) entry.lane.setSlots(entry, 0)
-        entry.lane.update(entry, nowMs)
+        if (entry.key.endpointId in leaving) entry.servicePlan.setSlots(entry, 0)
+        entry.servicePlan.updateCandidate(entry, nowMs)
         if (entry.slots == 0 && entry.inUse == 0) held.remove(entry.key, entry)
     }
 
     private fun changeInUse(entry: HeldSlots, change: Int) {
-        entry.lane.changeInUse(entry, change, clock())
+        entry.servicePlan.changeInUse(entry, change, clock())
         val atEndpoint = (inUseAt[entry.key.endpointId] ?: 0) + change
         if (atEndpoint == 0) inUseAt.remove(entry.key.endpointId) else inUseAt[entry.key.endpointId] = atEndpoint
     }
--- a/requests/src/test/kotlin/dev/bronzeshore/requests/AdmissionQueueTest.kt
+++ b/requests/src/test/kotlin/dev/bronzeshore/requests/AdmissionQueueTest.kt
@@ -14,7 +14,7 @@
 class AdmissionQueueTest {
     private var nowMs = 1_000L
     private val pool = SlotPool({ nowMs }, LatencyTracker { nowMs }, Random(1))
-    private val queue = AdmissionQueue({ nowMs }, pool, AdmissionLimits(waitingPerKind = 10, waitingPerPlan = 15))
+    private val queue = AdmissionQueue({ nowMs }, pool, AdmissionLimits(maxWaitingPerKind = 10, maxWaitingPerPlan = 15))
     private val started = ArrayList<Pair<QueuedRequest, SlotLease>>()
     private val refused = ArrayList<ResultCode>()
 
--- a/requests/src/test/kotlin/dev/bronzeshore/requests/FloodTrialTest.kt
+++ b/requests/src/test/kotlin/dev/bronzeshore/requests/FloodTrialTest.kt
@@ -18,7 +18,7 @@
     private fun run(policy: FloodPolicy, flooded: String?, kinds: List<FloodKind>): FloodReport {
         val report = FloodSimulation(FloodScenario(flooded = flooded, kinds = kinds), policy).run()
         println("flood: $policy, load ${kinds.sumOf { it.load }}, flooded $flooded, slots used ${report.slotsUsed}")
-        report.kinds.forEach { println("flood:   $it, kept ${it.kept}") }
+        report.kinds.forEach { println("flood:   $it, kept ${it.startedFraction}") }
         return report
     }
 
@@ -30,7 +30,7 @@
         for (kind in kinds.filter { it.name != flooded }) {
             val share = kind.weight.toDouble() / kinds.sumOf { it.weight }
             val entitled = minOf(1.0, share / kind.load)
-            assertTrue(flood.of(kind.name).kept >= 0.97 * entitled, "kept by ${kind.name}")
+            assertTrue(flood.of(kind.name).startedFraction >= 0.97 * entitled, "kept by ${kind.name}")
         }
     }
 
@@ -60,9 +60,9 @@
             listOf(null, "background", "urgent").forEach { run(policy, it, busy) }
         }
         val fifo = run(FloodPolicy.FIFO, "background", FloodScenario.KINDS)
-        assertTrue(fifo.of("urgent").kept < 0.5)
+        assertTrue(fifo.of("urgent").startedFraction < 0.5)
         val strict = run(FloodPolicy.STRICT_PRIORITY, "urgent", FloodScenario.KINDS)
-        assertTrue(strict.of("background").kept < 0.5)
+        assertTrue(strict.of("background").startedFraction < 0.5)
     }
 
     @Test
--- a/requests/src/test/kotlin/dev/bronzeshore/requests/InFlightGateTest.kt
+++ b/requests/src/test/kotlin/dev/bronzeshore/requests/InFlightTrackerTest.kt
@@ -7,23 +7,23 @@
 import org.junit.jupiter.api.Test
 
 /** Guards against a stop that misses a request which entered at the same moment, or never ends. */
-class InFlightGateTest {
-    private val gate = InFlightGate()
+class InFlightTrackerTest {
+    private val tracker = InFlightTracker()
 
     @Operation
-    fun enter(): Boolean = gate.tryEnter()
+    fun start(): Boolean = tracker.tryStart()
 
     @Operation
-    fun leave(): Boolean = gate.tryLeave()
+    fun finish(): Boolean = tracker.tryFinish()
 
     @Operation
-    fun close() = gate.close()
+    fun close() = tracker.close()
 
     @Operation
-    fun isEmptyForGood(): Boolean = gate.isEmptyForGood
+    fun isDrained(): Boolean = tracker.isDrained
 
     @Validate
-    fun `the signal agrees with the state`() = check(gate.isSignalled == gate.isEmptyForGood)
+    fun `the signal agrees with the state`() = check(tracker.isDrainSignalled == tracker.isDrained)
 
     @Test
     fun `model checking`() = ModelCheckingOptions().iterations(20).invocationsPerIteration(300).check(this::class)
--- a/requests/src/test/kotlin/dev/bronzeshore/requests/ProxyTest.kt
+++ b/requests/src/test/kotlin/dev/bronzeshore/requests/ProxyTest.kt
@@ -62,7 +62,7 @@
     ) = IncomingRequest("utility", "stockCheck", "stock", method, path, headers, body, length, idempotent = false)
 
     protected suspend fun attempt(address: String, request: IncomingRequest, answer: Answer = Answer()): AttemptEnd {
-        val body = ReplayableBody(request.body, request.contentLength, keep = false)
+        val body = ReplayableBody(request.body, request.contentLength, retain = false)
         return withTimeout(60_000) { proxy.attempt(address, request, body, Long.MAX_VALUE, responder(answer)) }
     }
 
--- a/requests/src/test/kotlin/dev/bronzeshore/requests/RequestRouterTest.kt
+++ b/requests/src/test/kotlin/dev/bronzeshore/requests/RequestRouterTest.kt
@@ -238,7 +238,7 @@
     @Test
     fun `guards against refusals in a flood that wait for the control thread`() = test {
         val dispatcher = Executors.newSingleThreadExecutor().asCoroutineDispatcher().also { opened += it }
-        val limits = RouterLimits(AdmissionLimits(waitingPerKind = 2))
+        val limits = RouterLimits(AdmissionLimits(maxWaitingPerKind = 2))
         val full = RequestRouter(dispatcher, { nowMs() }, proxy, Random(1), limits)
         full.configure(listOf(plan))
         val respond: Responder = { _, _ -> error("no answer is expected") }
--- a/requests/src/test/kotlin/dev/bronzeshore/requests/SlotPoolTest.kt
+++ b/requests/src/test/kotlin/dev/bronzeshore/requests/SlotPoolTest.kt
@@ -24,7 +24,7 @@
         assertFalse(apply(2, endpoints = 1, slots = 1))
         assertFalse(apply(1, endpoints = 5, slots = 8))
         assertEquals(1, pool.granted("stock", "utility"))
-        assertEquals(2, pool.request("dc1", "p1", emptyList()).appliedGrantId)
+        assertEquals(2, pool.allotmentRequest("dc1", "p1", emptyList()).appliedGrantId)
         assertTrue(apply(3, endpoints = 0, slots = 0), "slots taken away are to be confirmed at once")
     }
 
@@ -37,7 +37,7 @@
         pool.release(leases[0])
         pool.release(leases[0])
         assertNull(pool.take("stock", "utility"))
-        assertEquals(listOf(SlotsInUse("e1", "utility", 3)), pool.request("dc1", "p1", emptyList()).inUse)
+        assertEquals(listOf(SlotsInUse("e1", "utility", 3)), pool.allotmentRequest("dc1", "p1", emptyList()).inUse)
         pool.release(leases[1])
         assertEquals("e1", take())
     }
@@ -45,9 +45,9 @@
     @Test
     fun `guards against a slow or unreachable endpoint that is chosen while others are free`() {
         apply(1, endpoints = 3, slots = 8)
-        repeat(20) { latency.answered("e1", 50) }
-        repeat(20) { latency.answered("e2", 5) }
-        latency.failed("e3")
+        repeat(20) { latency.recordResponse("e1", 50) }
+        repeat(20) { latency.recordResponse("e2", 5) }
+        latency.recordFailure("e3")
         assertEquals("e2", take())
         // Ten requests at 5 ms are expected to take as long as one at 50 ms.
         val chosen = (1..14).mapNotNull { pool.take("stock", "utility")?.endpointId }
--- a/requests/src/test/kotlin/dev/bronzeshore/requests/SlotSafetyTest.kt
+++ b/requests/src/test/kotlin/dev/bronzeshore/requests/SlotSafetyTest.kt
@@ -85,7 +85,7 @@
             val demand = plans.map { plan ->
                 SlotDemand("stock", plan, random.nextInt(0, 20), process.leases.count { it.second == plan })
             }
-            process.pending += process.pool.request("dc1", process.id, demand)
+            process.pending += process.pool.allotmentRequest("dc1", process.id, demand)
         }
 
         /** Delivers requests and answers late, out of order, twice or never. */
