--- a/requests/src/main/kotlin/dev/bronzeshore/requests/AdmissionQueue.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/AdmissionQueue.kt
@@ -1,4 +1,4 @@
-/** Admission of requests: bounded queues per kind in front of the slots that this process holds. */
+/** Admission control for requests: a bounded queue per kind in front of the slots that this process holds. */
 package dev.bronzeshore.requests
 
 import dev.bronzeshore.core.ClockMs
@@ -6,18 +6,19 @@
 import dev.bronzeshore.core.Plan
 import dev.bronzeshore.core.ResultCode
 
-/** Bounds of the queues. */
+/** Limits on the number of waiting requests. */
 public data class AdmissionLimits(
     public val maxWaitingPerKind: Int = 512,
-    /** Bound over all kinds of a plan; a kind below its weighted part of it is still accepted. */
+    /** Limit for all kinds of a plan together; a kind below its weighted share of the limit is still accepted. */
     public val maxWaitingPerPlan: Int = 1_024,
 )
 
 /**
- * Decides which request gets the next free slot. Control state: not thread-safe.
+ * Decides which request gets the next free slot. Used on the control thread only: not thread-safe.
  *
- * Requests of a kind are ordered by deadline; slots are shared between the kinds of a plan by [KindPicker], and between
- * plans by the owners' grants. Refusals are decided before a request is queued and cost a few comparisons.
+ * Requests of a kind are ordered by deadline (earliest first). Slots are shared between the kinds of a plan by
+ * [KindPicker], and between plans by the owners' grants. Requests are refused before they are queued, at the cost of a
+ * few comparisons.
  */
 internal class AdmissionQueue(
     private val clock: ClockMs,
@@ -33,14 +34,14 @@
     private val queuesByServicePlan = LinkedHashMap<ServicePlanKey, List<KindQueue>>()
     private var lastSequence = 0L
 
-    /** Read by other threads; the maps do not change. */
+    /** Immutable snapshot of the queues for other threads. */
     @Volatile
     private var published: Map<String, Map<String, KindQueue>> = emptyMap()
 
     constructor(clock: ClockMs, pool: SlotPool, limits: AdmissionLimits = AdmissionLimits()) :
         this(clock, pool, limits, FairPicker()::pick)
 
-    /** Takes over the kinds that are answered by services; requests of a kind that is gone are refused. */
+    /** Replaces the kinds that services handle; waiting requests of a kind that was removed are refused. */
     fun configure(configuredPlans: List<Plan>) {
         val removed = ArrayList<KindQueue>()
         for (plan in configuredPlans) {
@@ -66,12 +67,12 @@
     }
 
     /**
-     * The fault with which a kind is refused while its queue is full, or null. Thread-safe, so that a flood does not
-     * reach the control thread.
+     * The fault with which requests of a kind are refused while its queue is full, or null if it is not. Thread-safe,
+     * so that a flood of requests does not reach the control thread.
      */
     fun queueFullFault(plan: String, kind: String): Fault? = published[plan]?.get(kind)?.queueFullFault
 
-    /** Says at low cost why a request that arrives now is refused, or null if it is not. */
+    /** The fault with which a request that arrives now is refused, or null if it is not. */
     fun refusalOf(plan: String, kind: String, service: String): Fault? {
         val queues = plans[plan] ?: return UNKNOWN_PLAN
         val queue = queues.kinds[kind] ?: return UNKNOWN_KIND
@@ -88,19 +89,19 @@
         return code.toFault(retryAtMs = queue.expectedDrainAtMs(nowMs))
     }
 
-    /** Queues a request, or returns the fault with which it is refused. A free slot is given out at once. */
+    /** Queues a request, or returns the fault with which it is refused. If a slot is free, it is assigned at once. */
     fun enqueue(request: QueuedRequest): Fault? {
         val fault = refusalOf(request.plan, request.kind, request.service)
         return fault ?: addUnlessExpired(request)
     }
 
-    /** Queues a request again that was admitted before and could not be sent; no bound applies. */
+    /** Queues a request again that was admitted before and has to be retried; the limits do not apply. */
     fun requeue(request: QueuedRequest): Fault? {
         if (plans[request.plan]?.kinds?.get(request.kind)?.service != request.service) return UNKNOWN_KIND
         return addUnlessExpired(request)
     }
 
-    /** Removes a waiting request without a decision; returns false if it was decided before. */
+    /** Removes a waiting request without a decision; returns false if it is no longer waiting. */
     fun cancel(request: QueuedRequest): Boolean {
         if (request.state != QueuedState.WAITING) return false
         request.state = QueuedState.ENDED
@@ -109,7 +110,7 @@
         return true
     }
 
-    /** Gives back the slot of a started request and hands it on. */
+    /** Releases the slot of a started request and assigns it to a waiting one. */
     fun release(request: QueuedRequest, lease: SlotLease) {
         if (request.state != QueuedState.STARTED) return
         request.state = QueuedState.ENDED
@@ -118,10 +119,10 @@
         dispatch(ServicePlanKey(request.service, request.plan))
     }
 
-    /** To be called after allotments or the set of leaving endpoints changed. */
+    /** Assigns free slots; to be called after the allotments or the set of leaving endpoints changed. */
     fun slotsChanged(): Unit = queuesByServicePlan.keys.forEach { dispatch(it) }
 
-    /** To be called several times a second: drops requests and slots whose deadline has passed. */
+    /** Drops requests and slots whose deadline has passed; to be called several times a second. */
     fun tick() {
         val nowMs = clock()
         pool.dropExpired()
@@ -132,10 +133,11 @@
         slotsChanged()
     }
 
-    /** Requests of a plan that wait for a service. */
-    fun waiting(service: String, plan: String): Int = queuesByServicePlan[ServicePlanKey(service, plan)]?.sumOf { it.waiting } ?: 0
+    /** Number of a plan's requests that wait for a service. */
+    fun waiting(service: String, plan: String): Int =
+        queuesByServicePlan[ServicePlanKey(service, plan)]?.sumOf { it.waiting } ?: 0
 
-    /** Service and plan of all configured kinds. */
+    /** The pairs of service and plan of all configured kinds. */
     fun servicePlans(): Set<ServicePlanKey> = queuesByServicePlan.keys
 
     private fun addUnlessExpired(request: QueuedRequest): Fault? {
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/Allotments.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/Allotments.kt
@@ -1,9 +1,9 @@
-/** Messages between the processes and a data centre's owner about endpoint slots. */
+/** Messages by which processes request endpoint slots from the owner of a data centre. */
 package dev.bronzeshore.requests
 
 import kotlinx.serialization.Serializable
 
-/** Slots that a process wants for one plan at one service; [wanted] includes the [inUse] ones. */
+/** Demand of a process for slots of one plan at one service; [wanted] includes the slots [inUse]. */
 @Serializable
 public data class SlotDemand(
     public val service: String,
@@ -12,16 +12,16 @@
     public val inUse: Int,
 )
 
-/** Requests of one plan in flight at one endpoint, also those started under an earlier grant. */
+/** Number of one plan's requests in flight at one endpoint, including those started under an earlier grant. */
 @Serializable
 public data class SlotsInUse(public val endpointId: String, public val plan: String, public val slots: Int)
 
 /**
- * Asks the owner of [dataCentre] for slots.
+ * Requests slots from the owner of [dataCentre].
  *
- * A process lists every service and plan that it serves, with [SlotDemand.wanted] 0 when idle, and so keeps a standing
- * share. [sequence] grows with each request of a process, so that a delayed request is recognized. [appliedGrantId] is
- * the last grant that the process put in force: the owner counts earlier grants no longer.
+ * A process lists every service and plan that it serves, with [SlotDemand.wanted] 0 when idle, and so keeps a minimum
+ * share. [sequence] increases with each request of a process, so that the owner can detect a delayed request.
+ * [appliedGrantId] is the last grant that the process applied: the owner no longer counts earlier grants.
  */
 @Serializable
 public data class AllotmentRequest(
@@ -33,7 +33,7 @@
     public val appliedGrantId: Long = 0,
 )
 
-/** Slots of one endpoint that a process may fill with requests of one plan before [untilMs]. */
+/** Slots of one endpoint in which a process may start requests of one plan before [untilMs]. */
 @Serializable
 public data class SlotAllotment(
     public val endpointId: String,
@@ -44,6 +44,6 @@
     public val untilMs: Long,
 )
 
-/** All slots of one data centre that a process may use from now on; replaces every earlier grant. */
+/** Response to [AllotmentRequest]: all slots of a data centre that a process may use; replaces all earlier grants. */
 @Serializable
 public data class Allotments(public val list: List<SlotAllotment>, public val grantId: Long = 0)
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/AttemptEnd.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/AttemptEnd.kt
@@ -1,19 +1,19 @@
-/** How one attempt to have a request answered by an endpoint ended. */
+/** Result of one attempt to send a request to an endpoint and forward its response. */
 package dev.bronzeshore.requests
 
 internal sealed interface AttemptEnd {
-    /** The whole answer was passed on. */
+    /** The complete response was forwarded to the caller. */
     data class Answered(val status: Int, val firstByteAtMs: Long) : AttemptEnd
 
-    /** No byte was sent: the request has not run and may go to another endpoint. */
+    /** No byte was sent: the request has not run and may be sent to another endpoint. */
     data class NotSent(val reason: String, val isReachable: Boolean = false) : AttemptEnd
 
-    /** The connection broke after the request was sent, at least in part, and before the answer began. */
+    /** The connection failed after at least a part of the request was sent and before the response started. */
     data class Unanswered(val reason: String) : AttemptEnd
 
-    /** The answer broke off after it had begun; the caller has a part of it. */
+    /** The response was truncated: the caller has received a part of it. */
     data class AnswerBroken(val reason: String) : AttemptEnd
 
-    /** The caller went away or broke off its body; the endpoint may have run the request. */
+    /** The caller disconnected or sent an incomplete body; the endpoint may have run the request. */
     data class CallerGone(val reason: String) : AttemptEnd
 }
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/BodyFraming.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/BodyFraming.kt
@@ -1,4 +1,4 @@
-/** Framing of HTTP/1.1 bodies, which tells a whole body from one that broke off. */
+/** Framing of HTTP/1.1 bodies, which distinguishes a complete body from a truncated one. */
 package dev.bronzeshore.requests
 
 import io.ktor.utils.io.ByteReadChannel
@@ -16,7 +16,7 @@
 private const val HEX = 16
 private val CRLF = byteArrayOf('\r'.code.toByte(), '\n'.code.toByte())
 
-/** How the end of a body is found. */
+/** How the end of a body is determined. */
 internal sealed interface Framing {
     data object None : Framing
 
@@ -24,53 +24,58 @@
 
     data class Length(val bytes: Long) : Framing
 
-    /** The body ends with the connection; a truncation cannot be told from the end. */
+    /** The body ends when the connection is closed; a truncated body cannot be distinguished from a complete one. */
     data object UntilClose : Framing
 }
 
-/** Reads up to [maxBytes] bytes; a channel that was closed because of a failure throws instead of ending. */
+/** Reads up to [maxBytes] bytes; throws if the channel was closed because of a failure, instead of returning -1. */
 internal suspend fun ByteReadChannel.readOrFail(buffer: ByteArray, maxBytes: Int): Int {
     val count = readAvailable(buffer, 0, maxBytes)
     if (count < 0) closedCause?.let { throw IOException("the connection failed: $it", it) }
     return count
 }
 
-/** True if the next read may have to wait; asking a failed channel throws, so the failure is left to that read. */
+/** True if the next read may suspend. A failed channel throws here too; the failure is reported by that read. */
 internal fun ByteReadChannel.mightSuspend(): Boolean = try {
     availableForRead == 0
 } catch (_: IOException) {
     true
 }
 
-/** Reads a body piece by piece; throws [IOException] if it ends before its framing says so. */
+/** Reads a body in blocks; throws [IOException] if the connection ends before the body is complete. */
 internal class BodyReader(private val source: ByteReadChannel, private val framing: Framing) {
-    /** Bytes left of the body or of the current chunk. */
+    /** Remaining bytes of the body or of the current chunk. */
     private var remainingBytes = if (framing is Framing.Length) framing.bytes else 0L
     private var isEnded = framing == Framing.None
     private var firstChunk = true
 
-    /** Returns the number of bytes read into [buffer], or -1 after the last one. */
+    /** Returns the number of bytes read into [buffer], or -1 at the end of the body. */
     suspend fun read(buffer: ByteArray): Int {
         if (framing == Framing.Chunked && remainingBytes == 0L && !isEnded) readChunkHeader()
         if (framing is Framing.Length && remainingBytes == 0L) isEnded = true
         if (isEnded) return -1
         if (framing == Framing.UntilClose) return source.readOrFail(buffer, buffer.size)
         val count = source.readOrFail(buffer, minOf(buffer.size.toLong(), remainingBytes).toInt())
-        if (count < 0) throw EOFException("the connection ended $remainingBytes bytes before the end of the body or chunk")
+        if (count <
+            0
+        ) {
+            throw EOFException("the connection ended $remainingBytes bytes before the end of the body or chunk")
+        }
         remainingBytes -= count
         return count
     }
 
-    /** True if the next read may have to wait. */
+    /** True if the next read may suspend. */
     val mightSuspend: Boolean get() = source.mightSuspend()
 
     private suspend fun readChunkHeader() {
         if (!firstChunk && readLine().isNotEmpty()) throw IOException("a chunk is longer than its size says")
         firstChunk = false
         val size = readLine().substringBefore(';').trim()
-        remainingBytes = size.toLongOrNull(HEX)?.takeIf { it >= 0 } ?: throw IOException("the chunk size '$size' is malformed")
+        remainingBytes =
+            size.toLongOrNull(HEX)?.takeIf { it >= 0 } ?: throw IOException("the chunk size '$size' is malformed")
         if (remainingBytes > 0) return
-        // Trailers are hop-by-hop here and are dropped.
+        // Trailers are not forwarded.
         while (readLine().isNotEmpty()) Unit
         isEnded = true
     }
@@ -79,7 +84,7 @@
         source.readLineStrict(MAX_LINE_BYTES) ?: throw EOFException("the connection ended within a chunked body")
 }
 
-/** Writes a body; without a call of [finish] the other side does not take it as whole. */
+/** Writes a body; it is complete for the receiver only after [finish]. */
 internal class BodyWriter(private val sink: ByteWriteChannel, private val chunked: Boolean) {
     suspend fun write(buffer: ByteArray, count: Int) {
         if (count == 0) return
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/CommittedSlots.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/CommittedSlots.kt
@@ -1,7 +1,7 @@
-/** Sums of the slots that processes may have in use. */
+/** Totals of the slots that processes may have in use. */
 package dev.bronzeshore.requests
 
-/** Counted slots per endpoint and per plan. */
+/** Slots that all [holders] together may have in use, per endpoint and per plan. */
 internal class CommittedSlots(holders: Collection<SlotHolder>) {
     private val byEndpoint = HashMap<String, Int>()
     private val byPlan = HashMap<String, Int>()
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/DecayedStatistics.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/DecayedStatistics.kt
@@ -3,7 +3,7 @@
 
 import kotlin.math.exp
 
-/** Time-weighted mean of a level that changes in steps. */
+/** Exponentially weighted mean over time of a value that changes in steps. */
 internal class DecayedLevel(private val windowMs: Double) {
     private var mean = 0.0
     private var level = 0.0
@@ -21,7 +21,7 @@
     }
 }
 
-/** Events per millisecond. */
+/** Exponentially weighted rate of events. */
 internal class DecayedRate(private val windowMs: Double) {
     private var weight = 0.0
     private var updatedAtMs = Long.MIN_VALUE
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/EndpointConnection.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/EndpointConnection.kt
@@ -1,4 +1,4 @@
-/** One connection to an endpoint, used for one exchange. */
+/** A connection to an endpoint, used for one HTTP exchange. */
 package dev.bronzeshore.requests
 
 import io.ktor.http.cio.HttpHeadersMap
@@ -11,11 +11,11 @@
 import java.io.EOFException
 import java.io.IOException
 
-/** Status, headers and framing of an endpoint's answer. */
+/** Status, headers and body framing of an endpoint's response. */
 internal class ReceivedHead(val status: Int, val headers: List<HeaderLine>, val framing: Framing) {
     private val length = headers.firstOrNull { it.name.equals("Content-Length", ignoreCase = true) }?.value
 
-    /** The head that is passed on; `Content-Length` is kept beside the headers, also in the answer to a HEAD. */
+    /** The head to forward; `Content-Length` is a separate field, also in the response to a HEAD request. */
     fun toResponseHead(): ResponseHead {
         val knownLength = if (framing == Framing.Chunked) null else length?.trim()?.toLongOrNull()
         return ResponseHead(status, headers.endToEnd(), knownLength)
@@ -45,7 +45,7 @@
         body.writeTo(BodyWriter(output, chunked = request.contentLength == null))
     }
 
-    /** Receives the head of the final answer; interim answers are skipped. */
+    /** Receives the head of the final response; interim (1xx) responses are skipped. */
     suspend fun receiveHead(method: String): ReceivedHead {
         while (true) {
             val response = parseResponse(input) ?: throw EOFException("the connection ended before the answer")
@@ -60,7 +60,7 @@
 
     fun reader(head: ReceivedHead): BodyReader = BodyReader(input, head.framing)
 
-    /** Closes both directions at once; what was not flushed is dropped. */
+    /** Closes both directions; data that was not flushed is discarded. */
     override fun close() {
         output.cancel(IOException("the exchange has ended"))
         input.cancel()
@@ -94,7 +94,7 @@
         const val NO_CONTENT = 204
         const val NOT_MODIFIED = 304
 
-        /** Methods whose empty body is announced, as RFC 9110 section 8.6 asks. */
+        /** Methods for which `Content-Length: 0` is sent if there is no body, see RFC 9110 section 8.6. */
         val METHODS_WITH_BODY = setOf("POST", "PUT", "PATCH")
     }
 }
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/EndpointSlots.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/EndpointSlots.kt
@@ -1,7 +1,7 @@
-/** An endpoint as the owner of its data centre knows it. */
+/** An endpoint as known to the owner of its data centre. */
 package dev.bronzeshore.requests
 
-/** An endpoint of [service] that answers up to [slots] requests at a time; gets no new requests while [leaving]. */
+/** An endpoint of [service] that handles up to [slots] requests at a time; gets no new requests while [leaving]. */
 public data class EndpointSlots(
     public val id: String,
     public val address: String,
@@ -10,5 +10,5 @@
     public val leaving: Boolean = false,
 )
 
-/** The unit in which slots are granted and counted. */
+/** Slots are granted and counted per endpoint and plan. */
 internal data class SlotKey(val endpointId: String, val plan: String)
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/FairPicker.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/FairPicker.kt
@@ -1,4 +1,4 @@
-/** Weighted fair sharing of a plan's slots at a service between its kinds. */
+/** Weighted fair sharing of a plan's slots at a service between the plan's kinds. */
 package dev.bronzeshore.requests
 
 import dev.bronzeshore.core.Policy
@@ -8,31 +8,32 @@
 /** State of a plan's slots at a service, for one decision. */
 internal class SharingState(val kinds: List<KindQueue>, val granted: Int, val free: Int, val nowMs: Long)
 
-/** Chooses the kind whose head gets the next free slot, or null to leave the slot free. */
+/** Selects the kind whose first waiting request gets the next free slot, or null to keep the slot free. */
 internal typealias KindPicker = (state: SharingState) -> KindQueue?
 
 /**
- * Gives free slots to kinds below their entitlement first, then to the kind with the lowest recent use for its weight.
+ * Prefers kinds below their entitlement, then the kind with the lowest recent usage in proportion to its weight.
  *
- * A kind without demand lends its share, and gets it back at the next free slot. Only a kind that overflows and is
- * above its entitlement leaves free what the interactive kinds have recently needed, because a slot on loan cannot be
- * recalled. That reserve is the mean use plus [reserveDeviations] standard deviations; null lends everything.
+ * A kind without demand lends its share and gets it back with the next slot that becomes free. Since a lent slot cannot
+ * be reclaimed while its request runs, an overflowing kind above its entitlement may not use the slots that interactive
+ * kinds have needed recently. This reserve is their mean usage plus [reserveDeviations] standard deviations; null means
+ * no reserve.
  */
 internal class FairPicker(private val reserveDeviations: Double? = RESERVE_DEVIATIONS) {
     fun pick(state: SharingState): KindQueue? {
         val activeWeight = state.kinds.sumOf { if (it.isActive) it.weight else 0 }
         var best: KindQueue? = null
-        var isBestUnderEntitlement = false
-        var bestWeightedUsage = 0.0
+        var bestIsBelow = false
+        var bestUsage = 0.0
         for (kind in state.kinds) {
             if (kind.waiting == 0) continue
-            val isUnderEntitlement = kind.inUse < entitlement(state, kind, activeWeight)
-            val weightedUsage = kind.usage.mean(state.nowMs) / kind.weight
-            val better = best == null || (isUnderEntitlement && !isBestUnderEntitlement) || (isUnderEntitlement == isBestUnderEntitlement && weightedUsage < bestWeightedUsage)
-            if (better && (isUnderEntitlement || state.free > reservedSlots(state, kind, activeWeight))) {
+            val isBelow = kind.inUse < entitlement(state, kind, activeWeight)
+            val usage = kind.usage.mean(state.nowMs) / kind.weight
+            val isBetter = best == null || (isBelow && !bestIsBelow) || (isBelow == bestIsBelow && usage < bestUsage)
+            if (isBetter && (isBelow || state.free > reservedSlots(state, kind, activeWeight))) {
                 best = kind
-                isBestUnderEntitlement = isUnderEntitlement
-                bestWeightedUsage = weightedUsage
+                bestIsBelow = isBelow
+                bestUsage = usage
             }
         }
         return best
@@ -45,7 +46,7 @@
         return (state.granted.toLong() * kind.weight / total).toInt()
     }
 
-    /** Slots that are kept free for interactive kinds other than [borrower]. */
+    /** Number of slots to keep free for interactive kinds other than [borrower]. */
     private fun reservedSlots(state: SharingState, borrower: KindQueue, activeWeight: Int): Int {
         val deviations = reserveDeviations ?: return 0
         if (!borrower.isOverflowing(state.nowMs)) return 0
@@ -61,10 +62,10 @@
     }
 
     private companion object {
-        /** Slots in use by independent requests vary by the square root of their mean. */
+        /** The standard deviation of the slots in use by independent requests is the square root of their mean. */
         const val RESERVE_DEVIATIONS = 2.0
 
-        /** Below this use, a kind is taken as idle and lends everything. */
+        /** A kind with a lower mean usage is considered idle and lends all its slots. */
         const val MIN_USAGE = 0.02
     }
 }
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/FloodScenario.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/FloodScenario.kt
@@ -1,9 +1,9 @@
-/** Inputs and results of a flood trial. */
+/** Parameters and results of a flood simulation. */
 package dev.bronzeshore.requests
 
 import dev.bronzeshore.core.Policy
 
-/** A kind of requests with its offered [load] as a part of the capacity. */
+/** A kind of requests; [load] is its offered load as a fraction of the capacity. */
 public data class FloodKind(
     public val name: String,
     public val policy: Policy,
@@ -13,7 +13,7 @@
     public val startWithinMs: Long,
 )
 
-/** A trial with exponentially distributed arrivals and service times; [flooded] offers [floodLoad], not its load. */
+/** Interarrival and service times are exponentially distributed. The kind [flooded] has [floodLoad] as its load. */
 public data class FloodScenario(
     public val seed: Long = 42,
     public val endpoints: Int = 3,
@@ -26,7 +26,7 @@
     public val limits: AdmissionLimits = AdmissionLimits(),
 ) {
     public companion object {
-        /** The most urgent kind has the earliest deadlines, the least urgent kind the latest. */
+        /** The more urgent a kind, the shorter its deadlines. */
         public val KINDS: List<FloodKind> =
             listOf(
                 FloodKind("urgent", Policy.INTERACTIVE, weight = 2, load = 0.1, startWithinMs = 500),
@@ -36,10 +36,10 @@
     }
 }
 
-/** How kinds share slots in a trial; only [FAIR] is in use outside of trials. */
+/** How kinds share slots in a simulation; only [FAIR] is used outside of simulations. */
 public enum class FloodPolicy { FAIR, FAIR_WITHOUT_RESERVE, FIFO, STRICT_PRIORITY }
 
-/** What one kind got. */
+/** Results of one kind. */
 public data class FloodKindStats(
     public val kind: String,
     public val offered: Long,
@@ -49,14 +49,14 @@
     public val waitP50Micros: Long,
     public val waitP99Micros: Long,
 ) {
-    /** Part of what the kind asked for that was started. */
+    /** Fraction of the offered requests that were started. */
     public val startedFraction: Double get() = if (offered == 0L) 1.0 else started.toDouble() / offered
 }
 
-/** Figures by kind, and the part of the slot time that was in use. */
+/** Results by kind, and the fraction of the slot time that was in use. */
 public data class FloodReport(public val kinds: List<FloodKindStats>, public val slotsUsed: Double) {
     public fun of(kind: String): FloodKindStats = kinds.first { it.kind == kind }
 }
 
-/** Mean cost of decisions in nanoseconds. */
+/** Mean cost in nanoseconds of serving and of refusing a request. */
 public data class DecisionCost(public val serveNanos: Double, public val refuseNanos: Double)
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/FloodSimulation.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/FloodSimulation.kt
@@ -1,4 +1,4 @@
-/** Admission under a flood, on simulated time and without sockets. */
+/** Simulation of admission control during a flood of requests, in virtual time and without sockets. */
 package dev.bronzeshore.requests
 
 import dev.bronzeshore.core.Plan
@@ -9,7 +9,7 @@
 import kotlin.math.ln
 import kotlin.random.Random
 
-/** Runs one flood trial through [AdmissionQueue] and [SlotPool]. */
+/** Simulates one [FloodScenario] with the real [AdmissionQueue] and [SlotPool]. */
 public class FloodSimulation internal constructor(private val setup: FloodScenario, pick: KindPicker) {
     private class Event(val atMicros: Long, val run: () -> Unit)
 
@@ -36,7 +36,7 @@
 
     public constructor(setup: FloodScenario, policy: FloodPolicy) : this(setup, pickerOf(policy))
 
-    /** Runs the trial to its end. */
+    /** Runs the simulation to its end. */
     public fun run(): FloodReport {
         prepare()
         counts.forEach { scheduleArrival(it) }
@@ -126,11 +126,12 @@
         private const val SERVICE = "service"
 
         /**
-         * Measures the decisions for one request on the real clock: queueing, choice of a slot and its release, against
-         * a refusal while the queue is full.
+         * Measures the real time of the decisions for one request: to queue it, choose a slot and release the slot,
+         * compared with refusing it while the queue is full.
          */
         public fun decisionCost(rounds: Int = 1_000_000): DecisionCost {
-            val fullQueue = FloodSimulation(FloodScenario(limits = AdmissionLimits(maxWaitingPerKind = 0)), FloodPolicy.FAIR)
+            val fullQueue =
+                FloodSimulation(FloodScenario(limits = AdmissionLimits(maxWaitingPerKind = 0)), FloodPolicy.FAIR)
             val openQueue = FloodSimulation(FloodScenario(), FloodPolicy.FAIR)
             fullQueue.prepare()
             fullQueue.queue.tick()
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/HeldSlots.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/HeldSlots.kt
@@ -1,23 +1,28 @@
 /** Slots of one endpoint that this process holds for one plan. */
 package dev.bronzeshore.requests
 
-/** An allotment together with the requests in flight; kept while either is left. */
-internal class HeldSlots(val key: SlotKey, val dataCentre: String, val address: String, val servicePlan: ServicePlanSlots) {
-    /** Like [inUse], changed by the lane only, which keeps the sums. */
+/** The granted slots together with the requests in flight; removed when there are neither. */
+internal class HeldSlots(
+    val key: SlotKey,
+    val dataCentre: String,
+    val address: String,
+    val servicePlan: ServicePlanSlots,
+) {
+    /** Changed only by [ServicePlanSlots], which maintains the totals; likewise [inUse]. */
     var slots: Int = 0
     var untilMs: Long = Long.MIN_VALUE
     var inUse: Int = 0
     val unused: Int get() = maxOf(0, slots - inUse)
 
-    /** Position in the lane's list of candidates, or -1. */
+    /** Index in [ServicePlanSlots.candidates], or -1. */
     var candidateIndex: Int = -1
 
     fun hasFreeSlot(nowMs: Long): Boolean = inUse < slots && nowMs < untilMs
 }
 
-/** A slot in use by one request, until it is given back to the pool. */
+/** A slot in use by one request until it is released to the [SlotPool]. */
 internal class SlotLease(val held: HeldSlots) {
-    /** The request must be sent before; a later renewal of the grant does not move it. */
+    /** Deadline for sending the request; not extended when the grant is renewed. */
     val sendBeforeMs: Long = held.untilMs
     var released: Boolean = false
 
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/IncomingRequest.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/IncomingRequest.kt
@@ -1,4 +1,4 @@
-/** A caller's request as the router gets it. */
+/** A caller's request as it is passed to the router. */
 package dev.bronzeshore.requests
 
 import io.ktor.utils.io.ByteReadChannel
@@ -10,7 +10,7 @@
 /**
  * A request of [plan] for [service] whose body has not been read yet.
  *
- * [pathAndQuery] is sent to the endpoint unchanged. [contentLength] is null for a chunked body and 0 for none.
+ * [pathAndQuery] is sent to the endpoint unchanged. [contentLength] is null for a chunked body and 0 if there is none.
  */
 public class IncomingRequest(
     public val plan: String,
@@ -22,14 +22,14 @@
     public val body: ByteReadChannel,
     public val contentLength: Long?,
     public val idempotent: Boolean,
-    /** Latest start; null means that the router's longest waiting time applies. */
+    /** Latest time at which the request may start; null stands for [RouterLimits.maxWaitMs] after its arrival. */
     public val startBeforeMs: Long? = null,
 )
 
 /**
- * Status and headers of an endpoint's answer; [contentLength] is null if the length is not known beforehand.
+ * Status and headers of an endpoint's response; [contentLength] is null if the length is not known in advance.
  *
- * The router fills in [endpointId] and [waitedMs], the time from arrival to start.
+ * The router sets [endpointId] and [waitedMs], the time that the request waited in queues.
  */
 public class ResponseHead(
     public val status: Int,
@@ -43,9 +43,9 @@
 }
 
 /**
- * Sends an answer to the caller.
+ * Sends a response to the caller.
  *
- * It is called at most once per request and has to call `writeBody` exactly once, also for an empty body. If
- * `writeBody` throws, the connection to the caller must be closed without completing the answer.
+ * Called at most once per request; must call `writeBody` exactly once, also for an empty body. If `writeBody` throws,
+ * the connection to the caller must be closed without completing the response.
  */
 public typealias Responder = suspend (head: ResponseHead, writeBody: suspend (ByteWriteChannel) -> Unit) -> Unit
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/KindQueue.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/KindQueue.kt
@@ -1,4 +1,4 @@
-/** The queue of one kind of requests. */
+/** Queue of one kind of requests. */
 package dev.bronzeshore.requests
 
 import dev.bronzeshore.core.Fault
@@ -6,19 +6,19 @@
 import dev.bronzeshore.core.WorkKind
 import java.util.PriorityQueue
 
-/** Requests of one kind, by deadline, with the slots that the kind has in use. */
+/** Waiting requests of one kind, ordered by deadline, and the number of slots that the kind has in use. */
 internal class KindQueue(val plan: String, val service: String, var kind: WorkKind) {
     private val heap = PriorityQueue(BY_DEADLINE)
     private val starts = DecayedRate(RATE_WINDOW_MS)
 
-    /** Mean of [inUse], which decides between kinds that are at their entitlement. */
+    /** Recent mean of [inUse], by which kinds that have reached their entitlement are compared. */
     val usage: DecayedLevel = DecayedLevel(USAGE_WINDOW_MS)
     var waiting: Int = 0
         private set
     var inUse: Int = 0
         private set
 
-    /** The fault of requests that arrive while the queue is full; the only field that other threads read. */
+    /** The fault for requests that arrive while the queue is full, else null; the only field read by other threads. */
     @Volatile
     var queueFullFault: Fault? = null
         private set
@@ -30,7 +30,7 @@
         waiting++
     }
 
-    /** The waiting request with the earliest deadline. */
+    /** The waiting request with the earliest deadline, or null if none waits. */
     fun head(): QueuedRequest? {
         while (heap.isNotEmpty() && heap.peek().state != QueuedState.WAITING) heap.poll()
         return heap.peek()
@@ -43,20 +43,20 @@
         return request
     }
 
-    /** Takes note that a waiting request was cancelled; entries are removed in bulk, in constant time each. */
+    /** Records that a waiting request was cancelled. Its entry is removed later in bulk, in amortized constant time. */
     fun recordCancellation() {
         waiting--
         if (heap.size > 2 * waiting + MIN_CANCELLED_ENTRIES) heap.removeIf { it.state != QueuedState.WAITING }
     }
 
-    /** Takes note that a request was refused, or that it expired in the queue. */
+    /** Records that a request was refused or expired in the queue. */
     fun recordOverflow(nowMs: Long) {
         lastOverflowAtMs = nowMs
     }
 
     fun isOverflowing(nowMs: Long): Boolean = queueFullFault != null || nowMs - lastOverflowAtMs < OVERFLOW_MS
 
-    /** To be called after [waiting] changed: refuses from now on, or no longer. */
+    /** Sets or clears [queueFullFault]; to be called after [waiting] changed. */
     fun updateQueueFullFault(limit: Int, nowMs: Long) {
         val isFull = waiting >= limit
         if (!isFull && queueFullFault == null) return
@@ -75,7 +75,7 @@
         usage.set(nowMs, inUse)
     }
 
-    /** When the requests that wait now should have left the queue, by the recent rate of starts. */
+    /** Time at which all requests that wait now are expected to have started, from the recent rate of starts. */
     fun expectedDrainAtMs(nowMs: Long): Long {
         val waitMs = waiting / maxOf(starts.perMs(nowMs), MIN_RATE_PER_MS)
         return nowMs + waitMs.toLong().coerceIn(MIN_RETRY_MS, MAX_RETRY_MS)
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/LatencyTracker.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/LatencyTracker.kt
@@ -1,14 +1,15 @@
-/** Observed latency of endpoints. */
+/** Latency estimates of endpoints. */
 package dev.bronzeshore.requests
 
 import dev.bronzeshore.core.ClockMs
 import kotlin.math.exp
 
 /**
- * Exponentially weighted latency per endpoint. Control state: not thread-safe.
+ * Exponentially weighted moving average of the latency of each endpoint. Used on the control thread only: not
+ * thread-safe.
  *
- * An estimate that is not refreshed drifts to the mean of all endpoints, so that an endpoint that was slow once is
- * tried again.
+ * An estimate without new observations decays to the mean of all endpoints, so that an endpoint that was slow is tried
+ * again.
  */
 internal class LatencyTracker(private val clock: ClockMs) {
     private class Estimate(var latencyMs: Double, var observedAtMs: Long, var avoidUntilMs: Long)
@@ -16,7 +17,7 @@
     private val estimates = HashMap<String, Estimate>()
     private var meanMs = INITIAL_LATENCY_MS
 
-    /** Records how long an endpoint took to answer. */
+    /** Records the latency of a response. */
     fun recordResponse(endpointId: String, latencyMs: Long) {
         val observedMs = maxOf(1.0, latencyMs.toDouble())
         val estimate = estimates.getOrPut(endpointId) { Estimate(observedMs, clock(), Long.MIN_VALUE) }
@@ -26,13 +27,12 @@
         meanMs += MEAN_SMOOTHING * (observedMs - meanMs)
     }
 
-    /** Records that an endpoint could not be reached; others are preferred for a while. */
+    /** Records that an endpoint could not be reached; it is avoided for [AVOID_AFTER_FAILURE_MS]. */
     fun recordFailure(endpointId: String) {
         val estimate = estimates.getOrPut(endpointId) { Estimate(meanMs, clock(), Long.MIN_VALUE) }
         estimate.avoidUntilMs = clock() + AVOID_AFTER_FAILURE_MS
     }
 
-    /** Expected latency in milliseconds. */
     fun expectedMs(endpointId: String): Double {
         val estimate = estimates[endpointId] ?: return meanMs
         val nowMs = clock()
@@ -41,7 +41,7 @@
         return meanMs + (estimate.latencyMs - meanMs) * exp(-ageMs / DECAY_MS)
     }
 
-    /** Forgets endpoints that are gone. */
+    /** Removes the estimates of all other endpoints. */
     fun retain(endpointIds: Set<String>) {
         estimates.keys.retainAll(endpointIds)
     }
@@ -52,7 +52,7 @@
         const val MEAN_SMOOTHING = 0.05
         const val DECAY_MS = 10_000.0
 
-        /** Longer than any answer, so that an unreachable endpoint is chosen only if there is no other. */
+        /** Longer than any response takes, so that an unreachable endpoint is chosen only if there is no other. */
         const val UNREACHABLE_LATENCY_MS = 1e9
         const val AVOID_AFTER_FAILURE_MS = 1_000L
     }
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/QueuedRequest.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/QueuedRequest.kt
@@ -1,11 +1,11 @@
-/** A request that waits for a slot. */
+/** Requests that wait for a slot. */
 package dev.bronzeshore.requests
 
 import dev.bronzeshore.core.Fault
 
-/** What became of a request that waited. */
+/** Result of a request's wait for a slot. */
 internal sealed interface AdmissionDecision {
-    /** The request may be sent to the endpoint of [lease] now. */
+    /** The request may be sent to the endpoint of [lease]. */
     data class Start(val lease: SlotLease) : AdmissionDecision
 
     /** The request is not sent. */
@@ -15,18 +15,18 @@
 /**
  * A request in an [AdmissionQueue].
  *
- * [onDecision] is called once, unless the request is cancelled before. It runs within a call of the queue and must not
- * call the queue itself.
+ * [onDecision] is called once, unless the request is cancelled before. It is called by the queue and must not call the
+ * queue itself.
  */
 internal class QueuedRequest(
     val plan: String,
     val kind: String,
     val service: String,
-    /** Latest start. */
+    /** Latest time at which the request may start. */
     val startBeforeMs: Long,
     val onDecision: (AdmissionDecision) -> Unit,
 ) {
-    /** Position among requests with the same deadline. */
+    /** Orders requests with the same deadline. */
     var sequence: Long = 0
     var queue: KindQueue? = null
     var state: QueuedState = QueuedState.NEW
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/ReplayableBody.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/ReplayableBody.kt
@@ -1,4 +1,4 @@
-/** The body of a caller's request, as far as possible retained for another attempt. */
+/** Body of a caller's request, retained for another attempt if it is small enough. */
 package dev.bronzeshore.requests
 
 import io.ktor.utils.io.ByteReadChannel
@@ -6,18 +6,18 @@
 import java.io.EOFException
 import java.io.IOException
 
-/** Bodies up to this size can be sent again; larger ones would let memory use grow with the traffic. */
+/** Bodies up to this size can be sent again; to retain larger ones would make memory use grow with the load. */
 internal const val REPLAY_LIMIT_BYTES: Int = 65_536
 
-/** Thrown when the caller's side of an exchange failed, as opposed to the endpoint's. */
+/** The connection to the caller failed, as opposed to the connection to the endpoint. */
 internal class CallerGoneException(cause: Throwable) : Exception("the caller's connection failed: $cause", cause)
 
-/** Streams [source] to endpoints; with [keep], what was read is retained up to [REPLAY_LIMIT_BYTES]. */
+/** Streams [source] to endpoints; with [retain], up to [REPLAY_LIMIT_BYTES] are retained for further attempts. */
 internal class ReplayableBody(private val source: ByteReadChannel, private val length: Long?, retain: Boolean) {
     private var retained: ByteArrayOutputStream? = if (retain) ByteArrayOutputStream() else null
     private var readBytes = 0L
 
-    /** True if another attempt can send the whole body. */
+    /** True if another attempt can send the complete body. */
     val isReplayable: Boolean get() = readBytes == 0L || retained != null
 
     suspend fun writeTo(sink: BodyWriter) {
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/RequestHeaders.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/RequestHeaders.kt
@@ -1,7 +1,7 @@
-/** Headers that end at this hop. */
+/** Filtering and validation of headers. */
 package dev.bronzeshore.requests
 
-/** Headers that concern one connection only, by RFC 9110 section 7.6.1. */
+/** Headers that apply to a single connection, see RFC 9110 section 7.6.1. */
 private val HOP_BY_HOP =
     setOf(
         "connection",
@@ -15,10 +15,10 @@
         "upgrade",
     )
 
-/** Set by the client for the endpoint's connection: the length is passed on beside the headers. */
+/** Headers that the proxy sets itself; the content length is a separate field of requests and responses. */
 private val SET_BY_PROXY = setOf("content-length", "host", "expect")
 
-/** Headers that are passed on: neither hop-by-hop ones nor those that `Connection` names. */
+/** The headers to forward: without hop-by-hop headers and those named by `Connection`. */
 internal fun List<HeaderLine>.endToEnd(): List<HeaderLine> {
     val connectionHeaders =
         filter { it.name.equals("Connection", ignoreCase = true) }
@@ -31,14 +31,14 @@
     }
 }
 
-/** False if a part of the request would break out of its line in the head that is sent. */
+/** False if the method, path or a header contains characters that would allow header injection. */
 internal fun IncomingRequest.isWellFormed(): Boolean = method.isNotEmpty() &&
     method.all { it.isLetter() || it == '-' } &&
     pathAndQuery.startsWith('/') &&
     pathAndQuery.none { it <= ' ' || it == DELETE_CHARACTER } &&
-    headers.all { line -> line.name.isNotEmpty() && line.name.none { it <= ' ' || it == ':' } && line.isSingleLine() } &&
+    headers.all { line -> line.name.isNotEmpty() && line.name.none { it <= ' ' || it == ':' } && line.isOneLine() } &&
     (contentLength == null || contentLength >= 0)
 
 private const val DELETE_CHARACTER = '\u007f'
 
-private fun HeaderLine.isSingleLine(): Boolean = value.none { it == '\r' || it == '\n' || it == '\u0000' }
+private fun HeaderLine.isOneLine(): Boolean = value.none { it == '\r' || it == '\n' || it == '\u0000' }
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/RequestProxy.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/RequestProxy.kt
@@ -1,4 +1,4 @@
-/** Streams requests to endpoints and their answers back. */
+/** Streaming of requests to endpoints and of their responses to callers. */
 package dev.bronzeshore.requests
 
 import dev.bronzeshore.core.ClockMs
@@ -18,18 +18,18 @@
 import java.io.IOException
 
 /**
- * Runs one exchange at a time over a connection of its own. Thread-safe.
+ * Opens a separate connection to the endpoint for each exchange. Thread-safe.
  *
- * It uses Ktor's sockets and parser but not its CIO client: that client takes a chunked answer that breaks off between
- * two chunks as whole, and may complete a chunked body whose source failed. Bodies pass through a small buffer.
- * Cancelling the caller's coroutine closes the endpoint's connection.
+ * Uses Ktor's sockets and parser but not its CIO client: that client treats a chunked response that is truncated
+ * between two chunks as complete, and may complete a chunked request body whose source failed. Bodies are copied
+ * through a small buffer. Cancelling the caller's coroutine closes the connection to the endpoint.
  */
 public class RequestProxy(ioDispatcher: CoroutineDispatcher, private val clock: ClockMs) : AutoCloseable {
     private val selector = SelectorManager(ioDispatcher)
 
     override fun close(): Unit = selector.close()
 
-    /** Sends the request unless [sendByMs] has passed by the time that the connection is open. */
+    /** Sends the request unless [sendByMs] has passed when the connection is established. */
     internal suspend fun attempt(
         address: String,
         request: IncomingRequest,
@@ -44,7 +44,7 @@
                 currentCoroutineContext().ensureActive()
                 return AttemptEnd.NotSent(failure.toString())
             }
-        // Connecting takes time, and this process may have been paused.
+        // Connecting takes time, and the process may have been paused.
         if (clock() > sendByMs) {
             socket.close()
             return AttemptEnd.NotSent("the deadline passed before the request was sent", isReachable = true)
@@ -75,7 +75,7 @@
                 coroutineScope {
                     val sending = launch { send() }
                     val status = receive()
-                    // An endpoint may answer without reading the whole body.
+                    // An endpoint may respond without reading the whole body.
                     sending.cancel()
                     AttemptEnd.Answered(status, firstByteAtMs)
                 }
@@ -101,7 +101,7 @@
                 callerFailure = failure
                 connection.close()
             } catch (failure: IOException) {
-                // The endpoint may have answered before it closed; if not, receiving fails too.
+                // The endpoint may have responded before it closed the connection; if not, receiving fails as well.
                 currentCoroutineContext().ensureActive()
             }
         }
@@ -148,7 +148,7 @@
         }
     }
 
-    /** Marks failures of the endpoint's connection while the answer is passed on. */
+    /** The connection to the endpoint failed while its response was forwarded. */
     private class EndpointFailure(cause: Exception) : IOException(cause.toString(), cause)
 
     private companion object {
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/RequestRouter.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/RequestRouter.kt
@@ -12,20 +12,21 @@
 import kotlinx.coroutines.withTimeoutOrNull
 import kotlin.random.Random
 
-/** Limits of the router. */
+/** Limits of [RequestRouter]. */
 public data class RouterLimits(
     public val admission: AdmissionLimits = AdmissionLimits(),
     public val maxAttempts: Int = 3,
-    /** Longest time in the queue of a request without a latest start. */
+    /** Maximum time in the queue of a request without [IncomingRequest.startBeforeMs]. */
     public val maxWaitMs: Long = 30_000,
 )
 
 /**
- * Admits requests, chooses endpoints and streams the exchanges. Thread-safe: all decisions run on [control], which has
- * to be single-threaded.
+ * Admits requests, chooses endpoints and streams requests and responses. Thread-safe: all decisions run on [control],
+ * which must be single-threaded.
  *
- * [onSlotShortage] is called on the control thread, at most once per [SLOT_SHORTAGE_PERIOD_MS], when a request finds no free slot; it
- * must not block. The owners should then be asked at once instead of at the next refresh.
+ * [onSlotShortage] is called on the control thread when a request finds no free slot, at most once per
+ * [SLOT_SHORTAGE_PERIOD_MS]; it must not block. It should request slots from the owners at once instead of with the
+ * next periodic refresh.
  */
 public class RequestRouter(
     private val control: CoroutineDispatcher,
@@ -42,33 +43,33 @@
     private val tracker = InFlightTracker()
     private var shortageReportedAtMs = Long.MIN_VALUE / 2
 
-    /** Requests accepted and not yet ended. */
+    /** Number of requests that were accepted and have not ended. */
     public val inFlight: Int get() = tracker.inFlight
 
-    /** Takes over the plans with their kinds. */
+    /** Replaces the plans with their kinds. */
     public suspend fun configure(plans: List<Plan>): Unit = withContext(control) { queue.configure(plans) }
 
-    /** Puts an owner's answer in force; true means that the next request to it should follow at once. */
+    /** Applies an owner's response; true means that the next request to the owner should follow at once. */
     public suspend fun apply(dataCentre: String, allotments: Allotments): Boolean = withContext(control) {
         val mustConfirm = pool.apply(dataCentre, allotments)
         queue.slotsChanged()
         mustConfirm
     }
 
-    /** Replaces the endpoints that get no new request; requests in flight there go on. */
+    /** Replaces the set of endpoints that get no new requests; requests in flight there continue. */
     public suspend fun setLeaving(endpointIds: Set<String>): Unit = withContext(control) {
         pool.setLeaving(endpointIds)
         queue.slotsChanged()
     }
 
-    /** Forgets the latency of endpoints that are not listed. */
+    /** Removes the latency estimates of all other endpoints. */
     public suspend fun retainEndpoints(endpointIds: Set<String>): Unit =
         withContext(control) { latency.retain(endpointIds) }
 
-    /** To be called several times a second: refuses requests whose latest start has passed. */
+    /** Refuses waiting requests whose latest start has passed; to be called several times a second. */
     public suspend fun tick(): Unit = withContext(control) { queue.tick() }
 
-    /** Slots wanted by service and plan, over all data centres. */
+    /** Demand for slots by service and plan, over all data centres. */
     public suspend fun demand(): List<SlotDemand> = withContext(control) {
         queue.servicePlans().map { key ->
             val inUse = pool.inUse(key.service, key.plan)
@@ -76,7 +77,7 @@
         }
     }
 
-    /** The next request to the owner of a data centre. Demand that no slot meets is shown to every owner. */
+    /** Creates the next request to the owner of a data centre. Each owner's request includes all unmet demand. */
     public suspend fun allotmentRequest(dataCentre: String, processId: String): AllotmentRequest =
         withContext(control) {
             val demand =
@@ -89,11 +90,12 @@
         }
 
     /**
-     * Streams a request to an endpoint and its answer to [responder].
+     * Streams a request to an endpoint and the endpoint's response to [responder].
      *
-     * A left result with outcome `NOT_RUN` means that no byte was sent to any endpoint; the body is then unread. If the
-     * result is left although [responder] was called, the caller has a part of an answer and its connection must be
-     * closed. A cancelled caller gives its slot back and closes its connection to the endpoint.
+     * A fault with outcome `NOT_RUN` means that no byte was sent to any endpoint and the body has not been read. If a
+     * fault is returned after [responder] was called, the caller has received a partial response and its connection
+     * must be closed. If the calling coroutine is cancelled, the slot is released and the connection to the endpoint is
+     * closed.
      */
     public suspend fun route(request: IncomingRequest, responder: Responder): Either<Fault, RouteReport> {
         if (!request.isWellFormed()) return ResultCode.INVALID_VALUE.toFault("method, path or header").left()
@@ -106,10 +108,10 @@
         }
     }
 
-    /** From now on requests are refused as `STOPPING`; those accepted before go on. */
+    /** Refuses new requests as `STOPPING` from now on; requests accepted before continue. */
     public fun stopAccepting(): Unit = tracker.close()
 
-    /** Waits after [stopAccepting] until no request is in flight; returns how many are left at [deadlineMs]. */
+    /** Waits after [stopAccepting] until no request is in flight; returns the number in flight at [deadlineMs] or 0. */
     public suspend fun awaitInFlight(deadlineMs: Long): Int {
         withTimeoutOrNull(deadlineMs - clock()) { tracker.awaitDrained() }
         return tracker.inFlight
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/RetryBudget.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/RetryBudget.kt
@@ -1,10 +1,11 @@
-/** Limit on repeated attempts. */
+/** Limit on retries. */
 package dev.bronzeshore.requests
 
 /**
- * Token bucket that allows one retry for every ten successes. Control state: not thread-safe.
+ * Token bucket that allows one retry for every ten successful requests. Used on the control thread only: not
+ * thread-safe.
  *
- * Without a limit, retries would multiply the load on endpoints that are failing because of load.
+ * Without a limit, retries would multiply the load on endpoints that fail because they are overloaded.
  */
 internal class RetryBudget {
     private var tenths = INITIAL_RETRIES * TENTHS_PER_RETRY
@@ -13,7 +14,7 @@
         tenths = minOf(tenths + 1, MAX_RETRIES * TENTHS_PER_RETRY)
     }
 
-    /** Takes a retry from the budget if there is one. */
+    /** Takes one retry from the budget; returns false if the budget is exhausted. */
     fun tryAcquire(): Boolean {
         if (tenths < TENTHS_PER_RETRY) return false
         tenths -= TENTHS_PER_RETRY
@@ -23,10 +24,10 @@
     private companion object {
         const val TENTHS_PER_RETRY = 10
 
-        /** Lets the first failures after a start be retried. */
+        /** Allows retries of the first failures after the process has started. */
         const val INITIAL_RETRIES = 3
 
-        /** Bounds the retries after a long time without failures. */
+        /** Limits the retries after a long period without failures. */
         const val MAX_RETRIES = 100
     }
 }
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/RouteDecisions.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/RouteDecisions.kt
@@ -1,4 +1,4 @@
-/** Decisions about single requests, all taken on the control thread. */
+/** Routing decisions for a single request, all taken on the control thread. */
 package dev.bronzeshore.requests
 
 import arrow.core.Either
@@ -9,11 +9,11 @@
 import dev.bronzeshore.core.ResultCode
 import kotlinx.coroutines.CompletableDeferred
 
-/** A request that was admitted or waits, with the decision to come. */
+/** A request that is waiting or has a slot; [decision] completes when it gets a slot or is refused. */
 internal class Admission(request: IncomingRequest, startBeforeMs: Long) {
     val decision = CompletableDeferred<AdmissionDecision>()
 
-    /** The slot once the request is admitted; control state. */
+    /** The slot once the request is started; used on the control thread only. */
     var lease: SlotLease? = null
         private set
     val queued: QueuedRequest =
@@ -23,7 +23,7 @@
         }
 }
 
-/** The part of the router's control state that a request uses. Control state: not thread-safe. */
+/** The router's decisions and shared state that each request uses. Used on the control thread only: not thread-safe. */
 internal class RouteDecisions(
     val clock: ClockMs,
     private val queue: AdmissionQueue,
@@ -32,7 +32,7 @@
     private val limits: RouterLimits,
     private val onNoFreeSlot: () -> Unit,
 ) {
-    /** The latest start of a request that arrives now. */
+    /** Latest time at which a request that arrives now may start. */
     fun startBeforeMs(request: IncomingRequest): Long = request.startBeforeMs ?: (clock() + limits.maxWaitMs)
 
     fun admit(request: IncomingRequest, startBeforeMs: Long, attempt: Int): Either<Fault, Admission> {
@@ -43,13 +43,13 @@
         return admission.right()
     }
 
-    /** Gives back whatever the admission holds, also if its decision was not seen by the caller. */
+    /** Removes the request from the queue or releases its slot, also if the caller has not received the decision. */
     fun cancel(admission: Admission) {
         if (queue.cancel(admission.queued)) return
         admission.lease?.let { queue.release(admission.queued, it) }
     }
 
-    /** Records how an attempt ended and frees its slot. */
+    /** Records the result of an attempt and releases its slot. */
     fun recordAttemptEnd(admission: Admission, lease: SlotLease, sentAtMs: Long, end: AttemptEnd) {
         when (end) {
             is AttemptEnd.Answered -> {
@@ -66,11 +66,11 @@
         queue.release(admission.queued, lease)
     }
 
-    /** Says whether another attempt may follow one that ended without an answer. */
+    /** Whether another attempt may follow one that ended without a response. */
     fun canRetry(request: IncomingRequest, body: ReplayableBody, end: AttemptEnd, attempts: Int): Boolean = when {
         attempts >= limits.maxAttempts -> false
 
-        // Nothing was sent, so this attempt neither ran nor loaded an endpoint.
+        // Nothing was sent: the request did not run and put no load on an endpoint, so no retry budget is needed.
         end is AttemptEnd.NotSent -> body.isReplayable
 
         end is AttemptEnd.Unanswered -> request.idempotent && body.isReplayable && retries.tryAcquire()
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/RouteReport.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/RouteReport.kt
@@ -1,7 +1,7 @@
-/** What happened to a request that was answered. */
+/** Result of a request whose response was forwarded. */
 package dev.bronzeshore.requests
 
-/** The endpoint that answered with [status], the time in queues, and the attempts that were made. */
+/** The endpoint that responded with [status], the time in queues, and the number of attempts. */
 public data class RouteReport(
     public val endpointId: String,
     public val status: Int,
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/RoutedRequest.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/RoutedRequest.kt
@@ -1,4 +1,4 @@
-/** The course of one request through admission and attempts. */
+/** Execution of one request: admission, attempts and retries. */
 package dev.bronzeshore.requests
 
 import arrow.core.Either
@@ -12,7 +12,7 @@
 import kotlinx.coroutines.NonCancellable
 import kotlinx.coroutines.withContext
 
-/** Runs one request; decisions run on [control], bytes move in the caller's context. */
+/** Runs one request; decisions run on [control], data is transferred in the caller's coroutine context. */
 internal class RoutedRequest(
     private val request: IncomingRequest,
     private val responder: Responder,
@@ -25,13 +25,13 @@
     private var waitedMs = 0L
     private var attempts = 0
 
-    /** True once an attempt may have reached an endpoint; "not run" is then no longer a true answer. */
+    /** True once an attempt may have reached an endpoint; the outcome `NOT_RUN` must then not be reported. */
     private var mayHaveRun = false
 
     suspend fun run(): Either<Fault, RouteReport> {
         while (true) {
             attempts++
-            // Not cancellable, since a cancelled call would lose the slot that it was just given.
+            // Not cancellable: a cancelled call would leak the slot that it was just assigned.
             val admission =
                 withContext(NonCancellable + control) { decisions.admit(request, startBeforeMs, attempts) }
                     .getOrElse { return adjustOutcome(it).left() }
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Returns null if another attempt is to follow. */
+    /** Returns null if the request has to be attempted again. */
     private suspend fun attempt(admission: Admission): Either<Fault, RouteReport>? {
         var openAdmission: Admission? = admission
         try {
@@ -74,7 +74,7 @@
         else -> decisions.faultOf(end, mayHaveRun).left()
     }
 
-    /** A refusal that follows an attempt which may have run does not say "not run". */
+    /** Replaces a fault with outcome `NOT_RUN` if an earlier attempt may have run. */
     private fun adjustOutcome(fault: Fault): Fault {
         if (!mayHaveRun || fault.code.outcome != Outcome.NOT_RUN) return fault
         return ResultCode.OUTCOME_UNKNOWN.toFault("then ${fault.code.number}: ${fault.message}")
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/ServicePlanSlots.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/ServicePlanSlots.kt
@@ -1,22 +1,22 @@
-/** The endpoints at which one plan's requests to one service may start. */
+/** Slots that this process holds for one plan's requests to one service. */
 package dev.bronzeshore.requests
 
 internal data class ServicePlanKey(val service: String, val plan: String)
 
-/** Candidates with a free slot, kept so that adding and removing one takes constant time. */
+/** Totals over all endpoints, and those with a free slot, which are added and removed in constant time. */
 internal class ServicePlanSlots(val key: ServicePlanKey) {
     private val candidateList = ArrayList<HeldSlots>()
 
-    /** Endpoints that had a free slot when last updated; deadlines may have passed since. */
+    /** Endpoints that had a free slot when last updated; their deadlines may have passed since. */
     val candidates: List<HeldSlots> get() = candidateList
     var inUse: Int = 0
         private set
 
-    /** Sum of the slots granted at all endpoints. */
+    /** Number of slots granted at all endpoints. */
     var granted: Int = 0
         private set
 
-    /** Sum of the slots that are granted and not in use, also those whose deadline has passed. */
+    /** Number of granted slots that are not in use, including those whose deadline has passed. */
     var free: Int = 0
         private set
     private var windowStartMs = Long.MIN_VALUE / 2
@@ -39,7 +39,7 @@
         free += held.unused
     }
 
-    /** Most slots in use at a time during the last one to two windows. */
+    /** Maximum number of slots in use at a time during the last one to two windows. */
     fun peakInUse(nowMs: Long): Int {
         rotatePeakWindow(nowMs)
         return maxOf(peakInUse, previousPeakInUse)
@@ -52,7 +52,7 @@
         windowStartMs = nowMs
     }
 
-    /** Adds or removes [held], whichever its state asks for. */
+    /** Adds [held] to the candidates or removes it, depending on whether it has a free slot. */
     fun updateCandidate(held: HeldSlots, nowMs: Long) {
         val hasFreeSlot = held.hasFreeSlot(nowMs)
         if (hasFreeSlot && held.candidateIndex < 0) add(held)
@@ -74,7 +74,7 @@
     }
 
     private companion object {
-        /** As long as the time between two requests for slots. */
+        /** The interval between two periodic requests for slots. */
         const val PEAK_WINDOW_MS = 1_000L
     }
 }
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/ShareDivider.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/ShareDivider.kt
@@ -3,8 +3,14 @@
 
 import java.util.PriorityQueue
 
-/** What one process wants for one plan; [allowed] bounds the plan's sum over all processes. */
-internal class ShareDemand(val processId: String, val plan: String, val wanted: Int, val weight: Int, val allowed: Int) {
+/** Demand of one process for one plan; [allowed] is the maximum for the plan over all processes. */
+internal class ShareDemand(
+    val processId: String,
+    val plan: String,
+    val wanted: Int,
+    val weight: Int,
+    val allowed: Int,
+) {
     /** Slots assigned so far. */
     var share: Int = 0
 }
@@ -12,9 +18,10 @@
 /**
  * Weighted max-min fair division.
  *
- * First each process gets a standing slot per plan. Then demand with some headroom is met, the plan with the smallest
- * share for its weight first. Half of what is left is spread so that every process has about the same spare; the
- * other half stays with the owner and is granted to whoever asks next, without waiting for another process's refresh.
+ * First each process gets a minimum of one slot per plan. Then demand plus headroom is met, the plan with the smallest
+ * share in proportion to its weight first. Half of the remaining slots are distributed so that all processes have about
+ * the same number of spare slots. The owner keeps the other half for the next request, which can then be granted
+ * without waiting until another process has refreshed its grant.
  */
 internal class ShareDivider(private val capacity: Int, demands: List<ShareDemand>) {
     private class PlanShares(val demands: List<ShareDemand>) {
@@ -27,7 +34,7 @@
     private var free = capacity
 
     fun divide() {
-        val minimum = minOf(free, maxOf(1, capacity / MINIMUM_DIVISOR))
+        val minimum = minOf(free, maxOf(1, capacity / MINIMUM_SHARE_DIVISOR))
         assign(minimum, { 1 }, { it.share })
         assign(free, { it.wanted + it.wanted / HEADROOM_DIVISOR + HEADROOM_SLOTS }, { it.share })
         assign(free / 2, { Int.MAX_VALUE }, { it.share - it.wanted })
@@ -55,10 +62,10 @@
     }
 
     private companion object {
-        /** Standing slots take at most a quarter of a service, so that many idle plans do not displace demand. */
-        const val MINIMUM_DIVISOR = 4
+        /** Minimum slots take at most a quarter of all slots, so that many idle plans do not displace demand. */
+        const val MINIMUM_SHARE_DIVISOR = 4
 
-        /** A burst within the next second should not have to wait for the next grant. */
+        /** Headroom so that a burst within the next second does not have to wait for the next grant. */
         const val HEADROOM_DIVISOR = 2
         const val HEADROOM_SLOTS = 1
     }
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/SlotAllocator.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/SlotAllocator.kt
@@ -1,18 +1,19 @@
-/** Slots of one data centre's endpoints, handed out by its owner. */
+/** Allocation of a data centre's endpoint slots by its owner. */
 package dev.bronzeshore.requests
 
 import dev.bronzeshore.core.Allowance
 import dev.bronzeshore.core.ClockMs
 
-/** A grant is renewed every second; two renewals in a row may be lost before a process runs out of slots. */
+/** A grant is renewed every second, so two consecutive renewals may be lost before a process runs out of slots. */
 public const val GRANT_DURATION_MS: Long = 2_500
 
 /**
- * Grants endpoint slots to processes. Control state: not thread-safe.
+ * Grants endpoint slots to processes. Used on the control thread only: not thread-safe.
  *
- * At any time the slots that processes may have in use do not exceed an endpoint's slots or a plan's allowance. A new
- * ledger counts nothing, so it may only be created once the deadline of the previous owner has passed. Requests that a
- * process keeps in flight after it lost contact for longer than its grant are counted again from its next report on.
+ * At any time the committed slots, those that processes may have in use, do not exceed an endpoint's slots or a plan's
+ * allowance. A new allocator starts without committed slots, so it may only be created once the deadline of the
+ * previous owner has passed. If a process loses contact for longer than its grant, its requests in flight are counted
+ * again from its next report on.
  */
 public class SlotAllocator(
     private val dataCentre: String,
@@ -24,7 +25,7 @@
     private val holders = LinkedHashMap<String, SlotHolder>()
     private var lastGrantId = 0L
 
-    /** Replaces the endpoints; grants on endpoints that are no longer listed run out. */
+    /** Replaces the endpoints; grants on endpoints that are no longer listed expire. */
     public fun setEndpoints(list: List<EndpointSlots>) {
         endpoints.clear()
         list.associateByTo(endpoints) { it.id }
@@ -36,7 +37,7 @@
         list.filter { it.dataCentre == dataCentre }.associateByTo(allowances) { it.plan }
     }
 
-    /** Answers a request with everything the process may use from now on; empty if ownership has lapsed. */
+    /** Returns all slots that the process may use from now on; empty if the ownership has expired. */
     public fun allocate(request: AllotmentRequest): Allotments {
         val nowMs = clock()
         val untilMs = minOf(nowMs + GRANT_DURATION_MS, actUntilMs())
@@ -58,14 +59,14 @@
         return grant(holder, granted, untilMs)
     }
 
-    /** Slots that may be in use at an endpoint now, by any process. */
+    /** Number of slots of an endpoint that processes may have in use now. */
     public fun committedAt(endpointId: String): Int {
         holders.values.removeAll { it.isExpired(clock()) }
         return CommittedSlots(holders.values).atEndpoint(endpointId)
     }
 
     private fun grant(holder: SlotHolder, granted: Map<SlotKey, Int>, untilMs: Long): Allotments {
-        // Follows the clock so that ids also grow from one owner to the next.
+        // Not below the clock, so that ids also increase from one owner to the next.
         lastGrantId = maxOf(lastGrantId + 1, clock())
         holder.addGrant(SlotGrant(lastGrantId, untilMs, granted))
         val list =
@@ -80,12 +81,12 @@
         endpoints.values.filter { it.service == service && !it.leaving }
 
     private fun sharesOf(service: String, processId: String, demand: DemandTotals): Map<String, Int> {
-        val shareDemands = holders.values.flatMap { holder -> shareDemandsOf(holder, service, demand) }
+        val shareDemands = holders.values.flatMap { holder -> demandsOf(holder, service, demand) }
         ShareDivider(endpointsOf(service).sumOf { it.slots }, shareDemands).divide()
         return shareDemands.filter { it.processId == processId }.associate { it.plan to it.share }
     }
 
-    private fun shareDemandsOf(holder: SlotHolder, service: String, demand: DemandTotals): List<ShareDemand> = holder.demand
+    private fun demandsOf(holder: SlotHolder, service: String, demand: DemandTotals): List<ShareDemand> = holder.demand
         .filter { it.service == service && it.plan in allowances }
         .distinctBy { it.plan }
         .map { wanted ->
@@ -94,14 +95,14 @@
             ShareDemand(holder.processId, wanted.plan, wanted.wanted, maxOf(1, allowance.weight), allowed)
         }
 
-    /** Demand of all processes, by which a plan's allowance is split between the services that it asks for. */
+    /** Demand of all processes, by which a plan's allowance is divided between the services that it uses. */
     private class DemandTotals(holders: Collection<SlotHolder>) {
         private val byPlan = HashMap<String, Long>()
         private val byServicePlan = HashMap<ServicePlanKey, Long>()
 
         init {
             for (demand in holders.flatMap { it.demand }) {
-                // The standing slot of an idle process counts as demand for one.
+                // The minimum slot of an idle process counts as a demand of one.
                 byPlan.merge(demand.plan, demand.wanted + 1L, Long::plus)
                 byServicePlan.merge(ServicePlanKey(demand.service, demand.plan), demand.wanted + 1L, Long::plus)
             }
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/SlotChooser.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/SlotChooser.kt
@@ -1,4 +1,4 @@
-/** Choice of the endpoint for the next request. */
+/** Selection of the endpoint for the next request. */
 package dev.bronzeshore.requests
 
 import kotlin.random.Random
@@ -6,8 +6,8 @@
 /**
  * Chooses the candidate with the lowest expected completion time.
  *
- * Above [SCAN_LIMIT] candidates two random ones are compared: the cost stays constant, and processes with the same view
- * do not all pick the same endpoint.
+ * With more than [SCAN_LIMIT] candidates, two random ones are compared (power of two choices): the cost stays constant,
+ * and processes with the same information do not all choose the same endpoint.
  */
 internal class SlotChooser(
     private val random: Random,
@@ -17,7 +17,7 @@
     fun choose(candidates: List<HeldSlots>): HeldSlots {
         if (candidates.size <= SCAN_LIMIT) return candidates.minBy { completionMs(it) }
         val first = random.nextInt(candidates.size)
-        // Skips the first candidate, so that the two always differ.
+        // An offset from the first candidate, so that the two always differ.
         val second = (first + 1 + random.nextInt(candidates.size - 1)) % candidates.size
         return minOf(candidates[first], candidates[second], compareBy { completionMs(it) })
     }
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/SlotHolder.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/SlotHolder.kt
@@ -1,17 +1,17 @@
-/** What the owner knows about one process that holds slots. */
+/** The owner's state about one process that holds slots. */
 package dev.bronzeshore.requests
 
 import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 
-/** Slots granted in one answer. */
+/** Slots granted in one response. */
 internal class SlotGrant(val id: Long, val untilMs: Long, val slots: Map<SlotKey, Int>)
 
 /**
- * Grants that a process may still act upon, and its last report.
+ * Grants that a process may still use, and its last report.
  *
- * An answer may be lost and a request may be late, so a grant counts until the process confirms a later one. Requests
- * that started under it are then part of the report. A process that is not heard of loses everything at once, when the
- * deadline of its last grant plus drift has passed.
+ * Responses may be lost and requests delayed, so a grant counts until the process confirms a later one. Requests that
+ * started under the grant are then part of the report. If a process sends no reports, all its slots expire when the
+ * deadline of its last grant plus the maximum clock skew has passed.
  */
 internal class SlotHolder(val processId: String) {
     var demand: List<SlotDemand> = emptyList()
@@ -21,7 +21,7 @@
     private var committedUntilMs = Long.MIN_VALUE
     private val grants = ArrayDeque<SlotGrant>()
 
-    /** Takes a report; returns false if a later one was taken before. */
+    /** Records a report; returns false if a later one was recorded before. */
     fun recordReport(request: AllotmentRequest, nowMs: Long): Boolean {
         if (request.sequence < lastSequence) return false
         lastSequence = request.sequence
@@ -38,19 +38,19 @@
         if (grants.size > MAX_GRANTS) mergeOldest()
     }
 
-    /** True once nothing of the process counts any longer. */
+    /** True once the process can have no more slots in use. */
     fun isExpired(nowMs: Long): Boolean = nowMs >= committedUntilMs + MAX_CLOCK_SKEW_MS
 
     fun inUse(key: SlotKey): Int = inUse[key] ?: 0
 
-    /** The most slots that the process may have in use, by endpoint and plan. */
+    /** The maximum number of slots that the process may have in use, by endpoint and plan. */
     fun committedSlots(): Map<SlotKey, Int> {
         val committed = HashMap(inUse)
         for (grant in grants) committed.mergeMax(grant.slots)
         return committed
     }
 
-    /** Bounds the memory for a process that asks and never confirms. */
+    /** Merges the two oldest grants, to limit the memory for a process that requests slots and never confirms them. */
     private fun mergeOldest() {
         val first = grants.removeFirst()
         val second = grants.removeFirst()
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/SlotPlacer.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/SlotPlacer.kt
@@ -1,4 +1,4 @@
-/** Chooses the endpoints at which a process gets its share. */
+/** Selection of the endpoints at which a process gets its share. */
 package dev.bronzeshore.requests
 
 /** Places shares of one [holder] on the [endpoints] of one service and adds them to [committed]. */
@@ -9,12 +9,12 @@
 ) {
     private val heldBefore = holder.committedSlots()
 
-    /** Returns the slots of [plan] by endpoint: at most [target] in all, and never more than [allowed] permits. */
+    /** Returns the slots of [plan] by endpoint: at most [target] in total, within the plan's limit [allowed]. */
     fun place(plan: String, target: Int, allowed: Int): Map<SlotKey, Int> {
         val slots = LinkedHashMap<SlotKey, Int>()
         for (endpoint in endpoints) {
             val key = SlotKey(endpoint.id, plan)
-            // An endpoint whose number of slots was lowered must shed the excess.
+            // If the endpoint's number of slots was reduced, the excess is not granted again.
             val excess = maxOf(0, committed.atEndpoint(endpoint.id) - endpoint.slots)
             slots[key] = maxOf(0, (heldBefore[key] ?: 0) - excess)
         }
@@ -24,7 +24,7 @@
         return slots
     }
 
-    /** Takes slots away where the process has the most unused ones. */
+    /** Removes slots at the endpoints where the process has the most unused ones. */
     private fun shrink(slots: MutableMap<SlotKey, Int>, target: Int) {
         var surplus = slots.values.sum() - target
         while (surplus > 0) {
@@ -34,7 +34,7 @@
         }
     }
 
-    /** Adds slots at the endpoints with the most room. */
+    /** Adds slots at the endpoints with the most free ones. */
     private fun grow(slots: MutableMap<SlotKey, Int>, target: Int, allowed: Int) {
         var missing = target - slots.values.sum()
         while (missing > 0) {
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/SlotPool.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/SlotPool.kt
@@ -1,14 +1,14 @@
-/** Slots that this process holds. */
+/** The endpoint slots that this process holds. */
 package dev.bronzeshore.requests
 
 import dev.bronzeshore.core.ClockMs
 import kotlin.random.Random
 
 /**
- * Hands out the slots that the owners granted. Control state: not thread-safe.
+ * Leases the slots that the owners granted to requests. Used on the control thread only: not thread-safe.
  *
- * A slot is handed out only before its deadline and while fewer requests are in flight at the endpoint for the plan
- * than slots are granted; requests that started under an earlier grant count.
+ * A slot is leased only before its deadline and while the plan has fewer requests in flight at the endpoint than slots
+ * granted there; requests that started under an earlier grant are included.
  */
 internal class SlotPool(private val clock: ClockMs, private val latency: LatencyTracker, random: Random) {
     private val held = LinkedHashMap<SlotKey, HeldSlots>()
@@ -20,10 +20,10 @@
     private var lastSequence = 0L
 
     /**
-     * Puts an owner's answer in force unless a later one is already.
+     * Applies an owner's response unless a later one has been applied.
      *
-     * Returns true if slots were taken away, in which case the next request to the owner should follow at once: its
-     * confirmation lets the owner grant them to others.
+     * Returns true if the number of slots was reduced at an endpoint. The next request to the owner should then follow
+     * at once: it confirms the reduction, so that the owner can grant the slots to other processes.
      */
     fun apply(dataCentre: String, allotments: Allotments): Boolean {
         if (allotments.grantId <= (grantIds[dataCentre] ?: 0L)) return false
@@ -46,7 +46,7 @@
         return isReduced
     }
 
-    /** Takes a slot for a request of [plan] to [service], or returns null if none is free. */
+    /** Leases a slot for a request of [plan] to [service]; returns null if none is free. */
     fun take(service: String, plan: String): SlotLease? {
         val servicePlan = servicePlans[ServicePlanKey(service, plan)] ?: return null
         val nowMs = clock()
@@ -60,7 +60,7 @@
         return null
     }
 
-    /** Gives a slot back once its request has ended; a second call has no effect. */
+    /** Releases a slot when its request has ended; a second call has no effect. */
     fun release(lease: SlotLease) {
         if (lease.released) return
         lease.released = true
@@ -68,32 +68,33 @@
         updateEntry(lease.held, clock())
     }
 
-    /** Slots that are granted for a plan's requests to a service and not in use. */
+    /** Number of slots granted for a plan's requests to a service that are not in use. */
     fun free(service: String, plan: String): Int = servicePlans[ServicePlanKey(service, plan)]?.free ?: 0
 
-    /** Requests of a plan in flight at a service's endpoints. */
+    /** Number of a plan's requests in flight at a service's endpoints. */
     fun inUse(service: String, plan: String): Int = servicePlans[ServicePlanKey(service, plan)]?.inUse ?: 0
 
-    /** Slots granted for a plan's requests to a service, in use or not. */
+    /** Number of slots granted for a plan's requests to a service, in use or not. */
     fun granted(service: String, plan: String): Int = servicePlans[ServicePlanKey(service, plan)]?.granted ?: 0
 
-    /** Requests of a plan in flight at a service's endpoints in one data centre. */
+    /** Number of a plan's requests in flight at a service's endpoints in one data centre. */
     fun inUse(dataCentre: String, service: String, plan: String): Int {
         val servicePlan = servicePlans[ServicePlanKey(service, plan)] ?: return 0
         return held.values.sumOf { if (it.servicePlan === servicePlan && it.dataCentre == dataCentre) it.inUse else 0 }
     }
 
-    /** Most requests in flight at a time within about the last second. */
-    fun peakInUse(service: String, plan: String): Int = servicePlans[ServicePlanKey(service, plan)]?.peakInUse(clock()) ?: 0
+    /** Maximum number of requests in flight at a time during the last one to two seconds. */
+    fun peakInUse(service: String, plan: String): Int =
+        servicePlans[ServicePlanKey(service, plan)]?.peakInUse(clock()) ?: 0
 
-    /** Replaces the endpoints that get no new request, whatever was granted. */
+    /** Replaces the set of endpoints that get no new requests, even if slots are granted there. */
     fun setLeaving(endpointIds: Set<String>) {
         leaving.clear()
         leaving += endpointIds
         held.values.toList().forEach { updateEntry(it, clock()) }
     }
 
-    /** Forgets slots whose deadline has passed, so that they no longer count as granted. */
+    /** Removes slots whose deadline has passed, so that they no longer count as granted. */
     fun dropExpired() {
         val nowMs = clock()
         for (entry in held.values.filter { nowMs >= it.untilMs }) {
@@ -102,9 +103,9 @@
         }
     }
 
-    /** The request that asks a data centre's owner for slots. */
+    /** Creates a request for slots to the owner of a data centre. */
     fun allotmentRequest(dataCentre: String, processId: String, demand: List<SlotDemand>): AllotmentRequest {
-        // Follows the clock so that a restarted process continues above the numbers it used before.
+        // Not below the clock, so that a restarted process continues above the numbers it used before.
         lastSequence = maxOf(lastSequence + 1, clock())
         val inUse =
             held.values
@@ -116,15 +117,22 @@
 
     private fun entryOf(key: SlotKey, dataCentre: String, allotment: SlotAllotment): HeldSlots {
         val current = held[key]
-        val servicePlan = servicePlans.getOrPut(ServicePlanKey(allotment.service, key.plan)) { ServicePlanSlots(ServicePlanKey(allotment.service, key.plan)) }
-        if (current != null && current.address == allotment.address && current.servicePlan === servicePlan) return current
+        val servicePlan = servicePlans.getOrPut(ServicePlanKey(allotment.service, key.plan)) {
+            ServicePlanSlots(ServicePlanKey(allotment.service, key.plan))
+        }
+        if (current != null &&
+            current.address == allotment.address &&
+            current.servicePlan === servicePlan
+        ) {
+            return current
+        }
         if (current != null) retire(current)
         val entry = HeldSlots(key, dataCentre, allotment.address, servicePlan)
         held[key] = entry
         return entry
     }
 
-    /** Takes out an entry whose endpoint was replaced under the same id. */
+    /** Stops using an entry whose endpoint was replaced by another one with the same id. */
     private fun retire(entry: HeldSlots) {
         entry.servicePlan.setSlots(entry, 0)
         entry.servicePlan.updateCandidate(entry, clock())
--- a/requests/src/test/kotlin/dev/bronzeshore/requests/AdmissionQueueTest.kt
+++ b/requests/src/test/kotlin/dev/bronzeshore/requests/AdmissionQueueTest.kt
@@ -43,13 +43,13 @@
     private fun enqueue(kind: String = "k0", startBeforeMs: Long = 1_000_000) =
         queue.enqueue(queued(kind, startBeforeMs))
 
-    private fun endOldest() {
+    private fun finishOldest() {
         val (request, lease) = started.removeFirst()
         queue.release(request, lease)
     }
 
     @Test
-    fun `guards against requests that overtake ones with an earlier deadline`() {
+    fun `guards against requests that start before others with an earlier deadline`() {
         configure(1)
         listOf(900L, 500, 700, 500, 600).forEach { enqueue(startBeforeMs = 10_000 + it) }
         grant(5)
@@ -74,7 +74,7 @@
     }
 
     @Test
-    fun `guards against queues without bound and against refusals without a time to retry`() {
+    fun `guards against unbounded queues and against refusals without a time to retry`() {
         configure(1, 1, 2)
         repeat(10) { assertNull(enqueue("k0")) }
         val full = enqueue("k0")
@@ -82,7 +82,7 @@
         assertTrue((full?.retryAtMs ?: 0) > nowMs)
         repeat(5) { assertNull(enqueue("k1")) }
         assertEquals(ResultCode.SHARE_EXHAUSTED, enqueue("k1")?.code)
-        // A kind below its part of the plan's bound is not affected by the others.
+        // A kind below its share of the plan's limit is not affected by the other kinds.
         repeat(7) { assertNull(enqueue("k2")) }
         assertEquals(ResultCode.SHARE_EXHAUSTED, enqueue("k2")?.code)
         assertEquals(ResultCode.UNKNOWN_KIND, enqueue("k9")?.code)
@@ -98,48 +98,48 @@
             while (enqueue("k1") == null) Unit
             nowMs++
             starts[started.last().first.kind.last().digitToInt()]++
-            endOldest()
+            finishOldest()
         }
         assertTrue(starts[1] in 90..110, "starts by kind: ${starts.toList()}")
     }
 
     @Test
-    fun `guards against a lent share that is not returned at the next free slot`() {
+    fun `guards against a lent share that is not returned with the next free slot`() {
         configure(1, 1)
         grant(4)
         repeat(10) { enqueue("k0") }
         assertEquals(4, started.size)
         enqueue("k1")
-        endOldest()
+        finishOldest()
         assertEquals("k1", started.last().first.kind)
     }
 
     @Test
-    fun `guards against starvation of a kind whose share is less than a slot`() {
+    fun `guards against starvation of a kind whose share is less than one slot`() {
         configure(9, 1)
         grant(1)
-        var others = 0
+        var lightStarts = 0
         repeat(200) {
             while (enqueue("k0") == null) Unit
             if (queue.waiting("stock", "utility") < 11) enqueue("k1")
             nowMs += 10
-            endOldest()
-            if (started.last().first.kind == "k1") others++
+            finishOldest()
+            if (started.last().first.kind == "k1") lightStarts++
         }
-        assertTrue(others in 10..40, "the light kind got $others of 200 starts")
+        assertTrue(lightStarts in 10..40, "the light kind got $lightStarts of 200 starts")
     }
 
     @Test
-    fun `guards against slots handed out after their deadline or beyond the grant`() {
+    fun `guards against slots that are used after their deadline or beyond the grant`() {
         configure(1)
         grant(2, untilMs = nowMs + 100)
         repeat(3) { enqueue() }
         assertEquals(2, started.size)
         grant(1, untilMs = nowMs + 100)
-        endOldest()
+        finishOldest()
         assertEquals(1, started.size)
         nowMs += 100
-        endOldest()
+        finishOldest()
         assertEquals(0, started.size)
     }
 
--- a/requests/src/test/kotlin/dev/bronzeshore/requests/FloodTrialTest.kt
+++ b/requests/src/test/kotlin/dev/bronzeshore/requests/FloodTrialTest.kt
@@ -8,9 +8,9 @@
 import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Prints the figures of docs/decisions/0003-admission.md and checks those that must hold. */
+/** Prints the figures in docs/decisions/0003-admission.md and checks the required ones. */
 class FloodTrialTest {
-    /** Total load 0.8 instead of 0.5, with a background kind that asks for more than its share. */
+    /** A total load of 0.8 instead of 0.5, with a background kind whose load exceeds its share. */
     private val busy = FloodScenario.KINDS.map {
         if (it.name == "background") it.copy(load = 0.4, weight = 2) else it
     }
@@ -45,16 +45,19 @@
     fun `guards against a flood of the most urgent kind that makes interactive requests wait`(isBusy: Boolean) =
         assertWaitInFlood("urgent", isBusy)
 
-    /** The stated target: the p99 of the waiting time is at most 1.2 times that without a flood. */
+    /** The target: the p99 of the waiting time is at most 1.2 times the one without a flood. */
     private fun assertWaitInFlood(flooded: String, isBusy: Boolean) {
         val kinds = if (isBusy) busy else FloodScenario.KINDS
-        val most = 1.2 * run(FloodPolicy.FAIR, null, kinds).of("interactive").waitP99Micros
-        val waited = run(FloodPolicy.FAIR, flooded, kinds).of("interactive").waitP99Micros
-        assertTrue(waited <= most, "interactive requests waited $waited us, at most $most us are expected")
+        val maxWaitMicros = 1.2 * run(FloodPolicy.FAIR, null, kinds).of("interactive").waitP99Micros
+        val waitMicros = run(FloodPolicy.FAIR, flooded, kinds).of("interactive").waitP99Micros
+        assertTrue(
+            waitMicros <= maxWaitMicros,
+            "interactive requests waited $waitMicros us, at most $maxWaitMicros us are expected",
+        )
     }
 
     @Test
-    fun `guards against a trial that cannot tell policies apart`() {
+    fun `guards against a simulation that does not distinguish policies`() {
         for (policy in FloodPolicy.entries.filter { it != FloodPolicy.FAIR }) {
             listOf(null, "background", "urgent").forEach { run(policy, it, FloodScenario.KINDS) }
             listOf(null, "background", "urgent").forEach { run(policy, it, busy) }
@@ -66,8 +69,10 @@
     }
 
     @Test
-    fun `guards against figures that change between runs of one seed`() {
-        val reports = (1..2).map { FloodSimulation(FloodScenario(flooded = "urgent", runMs = 5_000), FloodPolicy.FAIR).run() }
+    fun `guards against results that differ between runs with the same seed`() {
+        val reports = (1..2).map {
+            FloodSimulation(FloodScenario(flooded = "urgent", runMs = 5_000), FloodPolicy.FAIR).run()
+        }
         assertEquals(reports[0], reports[1])
     }
 
@@ -75,7 +80,7 @@
     fun `guards against refusals that cost as much as serving`() {
         val cost = FloodSimulation.decisionCost()
         println("flood: $cost")
-        // Far above the target, because the machine may be busy; the target is checked by the benchmark.
+        // Much looser than the target, because the machine may be busy; the benchmark checks the target.
         assertTrue(cost.refuseNanos < cost.serveNanos / 2, "$cost")
     }
 }
--- a/requests/src/test/kotlin/dev/bronzeshore/requests/InFlightTrackerTest.kt
+++ b/requests/src/test/kotlin/dev/bronzeshore/requests/InFlightTrackerTest.kt
@@ -6,7 +6,7 @@
 import org.jetbrains.lincheck.datastructures.Validate
 import org.junit.jupiter.api.Test
 
-/** Guards against a stop that misses a request which entered at the same moment, or never ends. */
+/** Guards against a stop that misses a request which started concurrently, or that never completes. */
 class InFlightTrackerTest {
     private val tracker = InFlightTracker()
 
--- a/requests/src/test/kotlin/dev/bronzeshore/requests/ProxyTest.kt
+++ b/requests/src/test/kotlin/dev/bronzeshore/requests/ProxyTest.kt
@@ -1,4 +1,4 @@
-/** A proxy with its callers and endpoints for tests. */
+/** Fixture: a proxy with a caller and endpoints. */
 package dev.bronzeshore.requests
 
 import io.ktor.utils.io.ByteChannel
@@ -19,18 +19,18 @@
     @AfterEach
     fun close() = proxy.close()
 
-    protected class Answer {
+    protected class ReceivedResponse {
         var status = 0
         var headers = emptyList<HeaderLine>()
-        var whole = false
+        var isComplete = false
         val text = StringBuilder()
         var bytes = 0L
         val checksum = CRC32()
     }
 
-    protected fun responder(answer: Answer): Responder = { head, writeBody ->
-        answer.status = head.status
-        answer.headers = head.headers
+    protected fun responder(response: ReceivedResponse): Responder = { head, writeBody ->
+        response.status = head.status
+        response.headers = head.headers
         val channel = ByteChannel()
         coroutineScope {
             val reader = launch {
@@ -38,14 +38,14 @@
                 while (true) {
                     val count = channel.readAvailable(buffer)
                     if (count < 0) break
-                    if (answer.bytes < 1_000) answer.text.append(String(buffer, 0, count))
-                    answer.bytes += count
-                    answer.checksum.update(buffer, 0, count)
+                    if (response.bytes < 1_000) response.text.append(String(buffer, 0, count))
+                    response.bytes += count
+                    response.checksum.update(buffer, 0, count)
                 }
             }
             try {
                 writeBody(channel)
-                answer.whole = true
+                response.isComplete = true
             } finally {
                 channel.flushAndClose()
                 reader.join()
@@ -61,9 +61,13 @@
         headers: List<HeaderLine> = emptyList(),
     ) = IncomingRequest("utility", "stockCheck", "stock", method, path, headers, body, length, idempotent = false)
 
-    protected suspend fun attempt(address: String, request: IncomingRequest, answer: Answer = Answer()): AttemptEnd {
+    protected suspend fun attempt(
+        address: String,
+        request: IncomingRequest,
+        response: ReceivedResponse = ReceivedResponse(),
+    ): AttemptEnd {
         val body = ReplayableBody(request.body, request.contentLength, retain = false)
-        return withTimeout(60_000) { proxy.attempt(address, request, body, Long.MAX_VALUE, responder(answer)) }
+        return withTimeout(60_000) { proxy.attempt(address, request, body, Long.MAX_VALUE, responder(response)) }
     }
 
     protected fun serving(serve: (TestExchange) -> Unit, test: suspend (TestEndpoint) -> Unit) {
--- a/requests/src/test/kotlin/dev/bronzeshore/requests/RequestProxyTest.kt
+++ b/requests/src/test/kotlin/dev/bronzeshore/requests/RequestProxyTest.kt
@@ -27,14 +27,14 @@
 internal class RequestProxyTest : ProxyTest() {
     @ParameterizedTest
     @ValueSource(strings = ["/", "/a%20b/c%2Fd", "/q?b=1&a=2&b=3", "/q?flag&x=%C3%B8+y", "/a//b;v=1?"])
-    fun `guards against a path or query that is changed on the way`(path: String) =
-        serving({ it.answer("x") }) { endpoint ->
+    fun `guards against a path or query that is changed by the proxy`(path: String) =
+        serving({ it.respond("x") }) { endpoint ->
             attempt(endpoint.address, request(path = path))
             assertEquals("GET $path HTTP/1.1", endpoint.requestLines.single())
         }
 
     @Test
-    fun `guards against hop-by-hop headers that cross the proxy`() {
+    fun `guards against hop-by-hop headers that are forwarded`() {
         val seen = CompletableDeferred<TestExchange>()
         val serve = { exchange: TestExchange ->
             seen.complete(exchange)
@@ -44,21 +44,21 @@
         serving(serve) { endpoint ->
             val names = listOf("Connection" to "x-hop", "X-Hop" to "1", "TE" to "trailers", "X-Own" to "a")
             val headers = names.map { HeaderLine(it.first, it.second) }
-            val answer = Answer()
-            attempt(endpoint.address, request(headers = headers), answer)
+            val response = ReceivedResponse()
+            attempt(endpoint.address, request(headers = headers), response)
             val exchange = seen.await()
             assertNull(exchange.header("X-Hop"))
             assertNull(exchange.header("TE"))
             assertEquals("a", exchange.header("X-Own"))
-            assertEquals(201, answer.status)
-            assertEquals("ok", answer.text.toString())
+            assertEquals(201, response.status)
+            assertEquals("ok", response.text.toString())
             assertEquals(
                 listOf("1", "2"),
-                answer.headers.filter {
+                response.headers.filter {
                     it.name == "Set-Cookie"
                 }.map { it.value.last() + "" },
             )
-            assertTrue(answer.headers.none { it.name == "Keep-Alive" || it.name == "Content-Length" })
+            assertTrue(response.headers.none { it.name == "Keep-Alive" || it.name == "Content-Length" })
         }
     }
 
@@ -89,19 +89,19 @@
                 val body = ByteChannel()
                 val sent = CRC32()
                 val writer = launch { writePattern(body, size, sent) }
-                val answer = Answer()
+                val response = ReceivedResponse()
                 val length = if (chunked) null else size
-                val end = attempt(endpoint.address, request("POST", "/", body, length), answer)
+                val end = attempt(endpoint.address, request("POST", "/", body, length), response)
                 writer.join()
                 assertInstanceOf(AttemptEnd.Answered::class.java, end)
-                assertEquals(size, answer.bytes)
-                assertEquals(sent.value, answer.checksum.value)
+                assertEquals(size, response.bytes)
+                assertEquals(sent.value, response.checksum.value)
             }
         }
     }
 
     @Test
-    fun `guards against a body that is buffered while the endpoint does not read, and is not let go with the caller`() {
+    fun `guards against a body that is buffered while the endpoint does not read, or still sent after a cancellation`() {
         val started = CompletableDeferred<Unit>()
         val checked = CompletableDeferred<Unit>()
         val seen = CompletableDeferred<Long?>()
@@ -117,7 +117,7 @@
                 val writer = launch { writePattern(body, 67_108_864, CRC32()) }
                 val call = launch { attempt(endpoint.address, request("POST", "/", body, 67_108_864)) }
                 started.await()
-                // Passing depends on the writer being blocked; the kernel's buffers take a few MiB only.
+                // The writer must be blocked: the kernel's socket buffers hold only a few MiB.
                 assertNull(withTimeoutOrNull(1_000) { writer.join() }, "the whole body was buffered")
                 call.cancelAndJoin()
                 writer.cancelAndJoin()
@@ -128,21 +128,21 @@
     }
 
     @Test
-    fun `guards against an early answer that is lost because the body is still being sent`() =
-        serving({ it.answer("too large", "413 Content Too Large") }) { endpoint ->
+    fun `guards against an early response that is lost because the body is still being sent`() =
+        serving({ it.respond("too large", "413 Content Too Large") }) { endpoint ->
             coroutineScope {
                 val body = ByteChannel()
                 val writer = launch { writePattern(body, 67_108_864, CRC32()) }
-                val answer = Answer()
-                val end = attempt(endpoint.address, request("POST", "/", body, null), answer)
+                val response = ReceivedResponse()
+                val end = attempt(endpoint.address, request("POST", "/", body, null), response)
                 assertEquals(413, (end as? AttemptEnd.Answered)?.status)
-                assertEquals("too large", answer.text.toString())
+                assertEquals("too large", response.text.toString())
                 writer.cancelAndJoin()
             }
         }
 
     @Test
-    fun `guards against an answer that is buffered while the caller does not read`() {
+    fun `guards against a response that is buffered while the caller does not read`() {
         val written = CompletableDeferred<Unit>()
         val serve = { exchange: TestExchange ->
             exchange.output.write("HTTP/1.1 200 OK\r\nContent-Length: 67108864\r\n\r\n".toByteArray())
@@ -162,7 +162,7 @@
                 val body = ReplayableBody(request.body, 0, false)
                 val call = launch { proxy.attempt(endpoint.address, request, body, Long.MAX_VALUE, slow) }
                 stuck.await()
-                assertNull(withTimeoutOrNull(1_000) { written.await() }, "the whole answer was buffered")
+                assertNull(withTimeoutOrNull(1_000) { written.await() }, "the whole response was buffered")
                 call.cancelAndJoin()
             }
         }
@@ -182,22 +182,28 @@
     }
 
     @Test
-    fun `guards against a refused connection that is taken as a request that may have run`() = runBlocking {
+    fun `guards against a refused connection that is reported as a request that may have run`() = runBlocking {
         assertInstanceOf(AttemptEnd.NotSent::class.java, attempt(closedAddress(), request()))
         assertInstanceOf(AttemptEnd.NotSent::class.java, attempt("no-such-host.invalid:80", request()))
         Unit
     }
 
     @Test
-    fun `guards against a request that is sent after its deadline`() = serving({ it.answer("late") }) { endpoint ->
+    fun `guards against a request that is sent after its deadline`() = serving({ it.respond("late") }) { endpoint ->
         val body = ReplayableBody(ByteReadChannel.Empty, 0, false)
-        val end = proxy.attempt(endpoint.address, request(), body, System.currentTimeMillis() - 1, responder(Answer()))
+        val end = proxy.attempt(
+            endpoint.address,
+            request(),
+            body,
+            System.currentTimeMillis() - 1,
+            responder(ReceivedResponse()),
+        )
         assertInstanceOf(AttemptEnd.NotSent::class.java, end)
         assertEquals(0, endpoint.requestLines.size)
     }
 
     @Test
-    fun `guards against a lost answer that is taken as not run`() = serving({ it.readBody() }) { endpoint ->
+    fun `guards against a lost response that is reported as not run`() = serving({ it.readBody() }) { endpoint ->
         assertInstanceOf(AttemptEnd.Unanswered::class.java, attempt(endpoint.address, request()))
         val post = request("POST", "/", ByteReadChannel("abc"), 3)
         assertInstanceOf(AttemptEnd.Unanswered::class.java, attempt(endpoint.address, post))
@@ -205,17 +211,17 @@
 
     @ParameterizedTest
     @ValueSource(strings = ["Content-Length: 10\r\n\r\nabc", "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n"])
-    fun `guards against a truncated answer that is taken as whole`(rest: String) =
+    fun `guards against a truncated response that is treated as complete`(rest: String) =
         serving({ it.output.write("HTTP/1.1 200 OK\r\n$rest".toByteArray()) }) { endpoint ->
-            val answer = Answer()
-            assertInstanceOf(AttemptEnd.AnswerBroken::class.java, attempt(endpoint.address, request(), answer))
-            assertEquals(false, answer.whole)
+            val response = ReceivedResponse()
+            assertInstanceOf(AttemptEnd.AnswerBroken::class.java, attempt(endpoint.address, request(), response))
+            assertEquals(false, response.isComplete)
         }
 
-    /** Repeated, because the failure may meet the proxy between any two steps of its copying. */
+    /** Repeated, because the failure may occur between any two steps while the proxy copies the body. */
     @ParameterizedTest
     @ValueSource(booleans = [true, false])
-    fun `guards against a broken body that reaches the endpoint as a whole one or hangs the attempt`(chunked: Boolean) =
+    fun `guards against a truncated body that is complete for the endpoint or hangs the attempt`(chunked: Boolean) =
         repeat(200) { breakBody(chunked) }
 
     private fun breakBody(chunked: Boolean) {
@@ -243,7 +249,7 @@
     }
 
     @Test
-    fun `guards against an attempt that goes on after its caller went away`() {
+    fun `guards against an attempt that continues after its caller was cancelled`() {
         val started = CompletableDeferred<Unit>()
         val closed = CompletableDeferred<Unit>()
         val hang = { exchange: TestExchange ->
@@ -265,8 +271,8 @@
     }
 
     @Test
-    fun `guards against a caller's broken connection that is blamed on the endpoint`() =
-        serving({ it.answer("hello") }) { endpoint ->
+    fun `guards against a failed connection to the caller that is reported as the endpoint's`() =
+        serving({ it.respond("hello") }) { endpoint ->
             val failing: Responder = { _, _ -> throw IOException("broken pipe") }
             val request = request()
             val body = ReplayableBody(request.body, 0, false)
@@ -275,16 +281,16 @@
         }
 
     @Test
-    fun `guards against an answer that reaches another caller`() = serving(
-        { it.answer(it.requestLine.split(' ')[1]) },
+    fun `guards against a response that is sent to another caller`() = serving(
+        { it.respond(it.requestLine.split(' ')[1]) },
     ) { endpoint ->
         coroutineScope {
             val calls = (1..200).map { caller ->
                 async {
                     repeat(5) { round ->
-                        val answer = Answer()
-                        attempt(endpoint.address, request(path = "/$caller/$round"), answer)
-                        assertEquals("/$caller/$round", answer.text.toString())
+                        val response = ReceivedResponse()
+                        attempt(endpoint.address, request(path = "/$caller/$round"), response)
+                        assertEquals("/$caller/$round", response.text.toString())
                     }
                 }
             }
--- a/requests/src/test/kotlin/dev/bronzeshore/requests/RequestRouterTest.kt
+++ b/requests/src/test/kotlin/dev/bronzeshore/requests/RequestRouterTest.kt
@@ -36,7 +36,7 @@
     private val opened = ArrayList<AutoCloseable>()
     private val proxy = RequestProxy(Dispatchers.Default, System::currentTimeMillis).also { opened += it }
     private val plan = Plan("solvgaard", "", listOf(WorkKind("stockCheck", Policy.INTERACTIVE, 1, "stock")))
-    private val asked = AtomicInteger()
+    private val slotShortages = AtomicInteger()
     private var nowMs: () -> Long = System::currentTimeMillis
     private val router =
         RequestRouter(
@@ -44,7 +44,7 @@
             { nowMs() },
             proxy,
             Random(1),
-            onSlotShortage = { asked.incrementAndGet() },
+            onSlotShortage = { slotShortages.incrementAndGet() },
         )
 
     @AfterEach
@@ -68,19 +68,20 @@
         ByteReadChannel(body), body.length.toLong(), idempotent, startBeforeMs,
     )
 
-    private suspend fun route(request: IncomingRequest, answer: StringBuilder = StringBuilder()) = withTimeout(30_000) {
-        router.route(request) { _, writeBody ->
-            val channel = ByteChannel()
-            coroutineScope {
-                launch { answer.append(String(channel.toByteArray())) }
-                try {
-                    writeBody(channel)
-                } finally {
-                    channel.flushAndClose()
+    private suspend fun route(request: IncomingRequest, response: StringBuilder = StringBuilder()) =
+        withTimeout(30_000) {
+            router.route(request) { _, writeBody ->
+                val channel = ByteChannel()
+                coroutineScope {
+                    launch { response.append(String(channel.toByteArray())) }
+                    try {
+                        writeBody(channel)
+                    } finally {
+                        channel.flushAndClose()
+                    }
                 }
             }
         }
-    }
 
     private fun Either<Fault, RouteReport>.code() = fold({ it.code }, { ResultCode.OK })
 
@@ -89,8 +90,8 @@
     private fun test(block: suspend () -> Unit) = runBlocking(Dispatchers.Default) { block() }
 
     @Test
-    fun `guards against a request that fails although it could have gone to another endpoint`() = test {
-        val alive = endpoint { it.answer("ok") }
+    fun `guards against a request that fails although another endpoint could handle it`() = test {
+        val alive = endpoint { it.respond("ok") }
         grant(closedAddress(), alive.address)
         val report = route(request("abc")).getOrNull()
         assertEquals(alive.address, report?.endpointId)
@@ -99,7 +100,7 @@
     }
 
     @Test
-    fun `guards against an unreachable fleet that is reported as outcome unknown`() = test {
+    fun `guards against unreachable endpoints that are reported as outcome unknown`() = test {
         grant(closedAddress(), closedAddress())
         assertEquals(ResultCode.NO_ENDPOINT, route(request()).code())
     }
@@ -123,13 +124,13 @@
         val endpoint = endpoint { exchange ->
             val body = StringBuilder()
             exchange.readBody { bytes, count -> body.append(String(bytes, 0, count)) }
-            if (rounds.incrementAndGet() == 2) exchange.answer(body.toString())
+            if (rounds.incrementAndGet() == 2) exchange.respond(body.toString())
         }
         grant(endpoint.address)
-        val answer = StringBuilder()
+        val response = StringBuilder()
         val text = "abc".repeat(10_000)
-        assertEquals(2, route(request(text, idempotent = true), answer).getOrNull()?.attempts)
-        assertEquals(text, answer.toString())
+        assertEquals(2, route(request(text, idempotent = true), response).getOrNull()?.attempts)
+        assertEquals(text, response.toString())
     }
 
     @Test
@@ -141,10 +142,10 @@
     }
 
     @Test
-    fun `guards against a not-run answer after an attempt that may have run`() = test {
+    fun `guards against a not-run fault after an attempt that may have run`() = test {
         val endpoint = endpoint {
             it.readBody()
-            // The second attempt finds its deadline passed.
+            // The deadline has passed before the second attempt.
             nowMs = { System.currentTimeMillis() + 1_000_000 }
         }
         grant(endpoint.address)
@@ -158,7 +159,7 @@
         val release = CountDownLatch(1)
         val endpoint = endpoint {
             if (it.requestLine.contains("hang")) release.await()
-            it.answer("ok")
+            it.respond("ok")
         }
         grant(endpoint.address, slots = 4)
         coroutineScope {
@@ -169,20 +170,20 @@
         assertEquals(0, inUse())
         assertEquals(0, router.inFlight)
         assertEquals(ResultCode.OK, route(request()).code())
-        assertTrue(asked.get() >= 1)
+        assertTrue(slotShortages.get() >= 1)
         release.countDown()
     }
 
     @Test
-    fun `guards against new requests at a leaving endpoint and against ones cut off there`() = test {
+    fun `guards against new requests at a leaving endpoint and against aborted ones there`() = test {
         val started = CompletableDeferred<Unit>()
         val release = CountDownLatch(1)
         val leaving = endpoint {
             started.complete(Unit)
             release.await()
-            it.answer("late")
+            it.respond("late")
         }
-        val other = endpoint { it.answer("ok") }
+        val other = endpoint { it.respond("ok") }
         grant(leaving.address)
         coroutineScope {
             val early = async { route(request()) }
@@ -196,13 +197,13 @@
     }
 
     @Test
-    fun `guards against a stop that cuts requests off or lets new ones in`() = test {
+    fun `guards against a stop that aborts requests or accepts new ones`() = test {
         val release = CountDownLatch(1)
         val started = CompletableDeferred<Unit>()
         val endpoint = endpoint {
             started.complete(Unit)
             release.await()
-            it.answer("ok")
+            it.respond("ok")
         }
         grant(endpoint.address)
         coroutineScope {
@@ -218,18 +219,18 @@
     }
 
     @Test
-    fun `guards against a waiting request that the owner does not hear of`() = test {
-        val endpoint = endpoint { it.answer("ok") }
+    fun `guards against a waiting request that is not reported to the owner`() = test {
+        val endpoint = endpoint { it.respond("ok") }
         val allocator = SlotAllocator("dc1", { nowMs() }, { Long.MAX_VALUE })
         allocator.setEndpoints(listOf(EndpointSlots("e1", endpoint.address, "stock", 8)))
         allocator.setAllowances(listOf(Allowance("solvgaard", "dc1", Resources.NONE, slots = 8)))
         router.configure(listOf(plan))
         coroutineScope {
             val call = async { route(request()) }
-            while (asked.get() == 0) yield()
-            val asking = router.allotmentRequest("dc1", "p1")
-            assertEquals(listOf(SlotDemand("stock", "solvgaard", wanted = 1, inUse = 0)), asking.demand)
-            router.apply("dc1", allocator.allocate(asking))
+            while (slotShortages.get() == 0) yield()
+            val allotmentRequest = router.allotmentRequest("dc1", "p1")
+            assertEquals(listOf(SlotDemand("stock", "solvgaard", wanted = 1, inUse = 0)), allotmentRequest.demand)
+            router.apply("dc1", allocator.allocate(allotmentRequest))
             assertEquals("e1", call.await().getOrNull()?.endpointId)
         }
         assertTrue(router.allotmentRequest("dc1", "p1").appliedGrantId > 0)
@@ -241,7 +242,7 @@
         val limits = RouterLimits(AdmissionLimits(maxWaitingPerKind = 2))
         val full = RequestRouter(dispatcher, { nowMs() }, proxy, Random(1), limits)
         full.configure(listOf(plan))
-        val respond: Responder = { _, _ -> error("no answer is expected") }
+        val respond: Responder = { _, _ -> error("no response is expected") }
         coroutineScope {
             val waiting = (1..2).map { launch { full.route(request(), respond) } }
             while (full.demand().sumOf { it.wanted } < 2) yield()
@@ -257,7 +258,7 @@
     }
 
     @Test
-    fun `guards against a head that breaks out of its line`() = test {
+    fun `guards against header injection`() = test {
         grant(closedAddress())
         for (path in listOf("/a b", "/a\r\nX: y", "a", "/\u0000")) {
             assertEquals(ResultCode.INVALID_VALUE, route(request(path = path)).code())
@@ -265,12 +266,12 @@
     }
 
     @Test
-    fun `guards against more requests at an endpoint than slots and against mixed answers`() = test {
+    fun `guards against more requests at an endpoint than slots and against mixed-up responses`() = test {
         val running = AtomicInteger()
-        val most = AtomicInteger()
+        val maxRunning = AtomicInteger()
         val endpoint = endpoint {
-            most.accumulateAndGet(running.incrementAndGet(), ::maxOf)
-            it.answer(it.requestLine.split(' ')[1])
+            maxRunning.accumulateAndGet(running.incrementAndGet(), ::maxOf)
+            it.respond(it.requestLine.split(' ')[1])
             running.decrementAndGet()
         }
         grant(endpoint.address, slots = 8)
@@ -278,16 +279,16 @@
             val calls = (1..200).map { caller ->
                 async {
                     repeat(5) { round ->
-                        val answer = StringBuilder()
-                        val code = route(request(path = "/$caller/$round"), answer).code()
+                        val response = StringBuilder()
+                        val code = route(request(path = "/$caller/$round"), response).code()
                         assertEquals(ResultCode.OK, code)
-                        assertEquals("/$caller/$round", answer.toString())
+                        assertEquals("/$caller/$round", response.toString())
                     }
                 }
             }
             calls.awaitAll()
         }
-        assertTrue(most.get() <= 8, "${most.get()} requests ran at once on 8 slots")
+        assertTrue(maxRunning.get() <= 8, "${maxRunning.get()} requests ran at once on 8 slots")
         assertEquals(Outcome.DONE, route(request()).code().outcome)
     }
 }
--- a/requests/src/test/kotlin/dev/bronzeshore/requests/SlotAllocatorTest.kt
+++ b/requests/src/test/kotlin/dev/bronzeshore/requests/SlotAllocatorTest.kt
@@ -18,13 +18,13 @@
 
     private fun allow(plan: String, slots: Int, weight: Int = 1) = Allowance(plan, "dc1", Resources.NONE, slots, weight)
 
-    private fun ask(process: String, wanted: Int, plan: String = "utility"): List<SlotAllotment> {
+    private fun requestSlots(process: String, wanted: Int, plan: String = "utility"): List<SlotAllotment> {
         nowMs++
         val demand = listOf(SlotDemand("stock", plan, wanted, 0))
         val request = AllotmentRequest("dc1", process, demand, emptyList(), nowMs, confirmed[process] ?: 0)
-        val answer = allocator.allocate(request)
-        confirmed[process] = answer.grantId
-        return answer.list
+        val response = allocator.allocate(request)
+        confirmed[process] = response.grantId
+        return response.list
     }
 
     private fun List<SlotAllotment>.slots() = sumOf { it.slots }
@@ -33,9 +33,9 @@
     fun `guards against grants over the endpoint's slots or the plan's allowance`() {
         allocator.setEndpoints(endpoints(2))
         allocator.setAllowances(listOf(allow("utility", 10), allow("solvgaard", 100)))
-        val total = ask("p1", 50).slots() + ask("p2", 50).slots()
+        val total = requestSlots("p1", 50).slots() + requestSlots("p2", 50).slots()
         assertTrue(total <= 10, "granted $total of 10 allowed slots")
-        ask("p3", 50, "solvgaard")
+        requestSlots("p3", 50, "solvgaard")
         for (id in listOf("e1", "e2")) assertTrue(allocator.committedAt(id) <= 8)
     }
 
@@ -43,39 +43,39 @@
     fun `guards against slots that stay with an idle process`() {
         allocator.setEndpoints(endpoints(4))
         allocator.setAllowances(listOf(allow("utility", 32)))
-        assertTrue(ask("p1", 32).slots() >= 28)
-        ask("p2", 0)
-        // The first answer takes the slots away, the second request confirms that.
-        repeat(2) { ask("p1", 0) }
-        assertTrue(ask("p2", 30).slots() >= 16)
-        repeat(2) { ask("p1", 0) }
-        val moved = ask("p2", 30).slots()
+        assertTrue(requestSlots("p1", 32).slots() >= 28)
+        requestSlots("p2", 0)
+        // The first response removes the slots, the second request confirms this.
+        repeat(2) { requestSlots("p1", 0) }
+        assertTrue(requestSlots("p2", 30).slots() >= 16)
+        repeat(2) { requestSlots("p1", 0) }
+        val moved = requestSlots("p2", 30).slots()
         assertTrue(moved >= 28, "moved $moved of 32 slots")
     }
 
     @Test
-    fun `guards against a first request that waits because another process holds everything`() {
+    fun `guards against a first request that waits because another process holds all slots`() {
         allocator.setEndpoints(endpoints(4))
         allocator.setAllowances(listOf(allow("utility", 32), allow("solvgaard", 32)))
         repeat(3) {
-            ask("p1", 500)
-            ask("p2", 0)
-            ask("p3", 0, "solvgaard")
+            requestSlots("p1", 500)
+            requestSlots("p2", 0)
+            requestSlots("p3", 0, "solvgaard")
         }
-        assertTrue(ask("p2", 0).slots() >= 1)
-        assertTrue(ask("p3", 0, "solvgaard").slots() >= 1)
+        assertTrue(requestSlots("p2", 0).slots() >= 1)
+        assertTrue(requestSlots("p3", 0, "solvgaard").slots() >= 1)
     }
 
     @Test
-    fun `guards against a dead holder's slots that are granted before its deadline plus drift`() {
+    fun `guards against slots of a failed process that are granted before its deadline plus the clock skew`() {
         allocator.setEndpoints(endpoints(1))
         allocator.setAllowances(listOf(allow("utility", 8)))
         val grantedAtMs = nowMs + 1
-        val held = ask("p1", 8).slots()
+        val held = requestSlots("p1", 8).slots()
         assertEquals(8, held)
         nowMs = grantedAtMs + GRANT_DURATION_MS + MAX_CLOCK_SKEW_MS - 2
-        assertEquals(0, ask("p2", 8).slots())
-        assertEquals(8, ask("p2", 8).slots())
+        assertEquals(0, requestSlots("p2", 8).slots())
+        assertEquals(8, requestSlots("p2", 8).slots())
     }
 
     @Test
@@ -83,18 +83,18 @@
         allocator.setEndpoints(endpoints(1))
         allocator.setAllowances(listOf(allow("utility", 8)))
         actUntilMs = nowMs + 500
-        assertTrue(ask("p1", 8).all { it.untilMs <= actUntilMs })
+        assertTrue(requestSlots("p1", 8).all { it.untilMs <= actUntilMs })
         nowMs = actUntilMs
-        assertEquals(0, ask("p1", 8).slots())
+        assertEquals(0, requestSlots("p1", 8).slots())
     }
 
     @Test
     fun `guards against new grants on a leaving endpoint`() {
         allocator.setEndpoints(endpoints(2))
         allocator.setAllowances(listOf(allow("utility", 16)))
-        ask("p1", 16)
+        requestSlots("p1", 16)
         allocator.setEndpoints(endpoints(2).map { it.copy(leaving = it.id == "e2") })
-        assertEquals(setOf("e1"), ask("p1", 16).map { it.endpointId }.toSet())
+        assertEquals(setOf("e1"), requestSlots("p1", 16).map { it.endpointId }.toSet())
     }
 
     @Test
@@ -102,10 +102,10 @@
         allocator.setEndpoints(endpoints(5))
         allocator.setAllowances(listOf(allow("utility", 40, weight = 3), allow("solvgaard", 40, weight = 1)))
         repeat(4) {
-            ask("p1", 400)
-            ask("p2", 400, "solvgaard")
+            requestSlots("p1", 400)
+            requestSlots("p2", 400, "solvgaard")
         }
-        assertEquals(30, ask("p1", 400).slots())
-        assertEquals(10, ask("p2", 400, "solvgaard").slots())
+        assertEquals(30, requestSlots("p1", 400).slots())
+        assertEquals(10, requestSlots("p2", 400, "solvgaard").slots())
     }
 }
--- a/requests/src/test/kotlin/dev/bronzeshore/requests/SlotPoolTest.kt
+++ b/requests/src/test/kotlin/dev/bronzeshore/requests/SlotPoolTest.kt
@@ -20,16 +20,16 @@
     private fun take() = pool.take("stock", "utility")?.also { pool.release(it) }?.endpointId
 
     @Test
-    fun `guards against a late answer that replaces a newer one`() {
+    fun `guards against a delayed response that replaces a newer one`() {
         assertFalse(apply(2, endpoints = 1, slots = 1))
         assertFalse(apply(1, endpoints = 5, slots = 8))
         assertEquals(1, pool.granted("stock", "utility"))
         assertEquals(2, pool.allotmentRequest("dc1", "p1", emptyList()).appliedGrantId)
-        assertTrue(apply(3, endpoints = 0, slots = 0), "slots taken away are to be confirmed at once")
+        assertTrue(apply(3, endpoints = 0, slots = 0), "a reduced grant must be confirmed at once")
     }
 
     @Test
-    fun `guards against requests of an earlier grant that are not counted`() {
+    fun `guards against requests started under an earlier grant that are not counted`() {
         apply(1, endpoints = 1, slots = 4)
         val leases = (1..4).mapNotNull { pool.take("stock", "utility") }
         apply(2, endpoints = 0, slots = 0)
@@ -49,11 +49,11 @@
         repeat(20) { latency.recordResponse("e2", 5) }
         latency.recordFailure("e3")
         assertEquals("e2", take())
-        // Ten requests at 5 ms are expected to take as long as one at 50 ms.
+        // Ten requests at 5 ms each are expected to take as long as one at 50 ms.
         val chosen = (1..14).mapNotNull { pool.take("stock", "utility")?.endpointId }
         assertEquals(8, chosen.count { it == "e2" })
         nowMs += 60_000
-        assertTrue(latency.expectedMs("e1") < 40, "an old estimate has to drift to the mean")
+        assertTrue(latency.expectedMs("e1") < 40, "an old estimate must decay to the mean")
     }
 
     @Test
--- a/requests/src/test/kotlin/dev/bronzeshore/requests/SlotSafetyTest.kt
+++ b/requests/src/test/kotlin/dev/bronzeshore/requests/SlotSafetyTest.kt
@@ -9,33 +9,33 @@
 import kotlin.random.Random
 
 /**
- * Guards against slots in use beyond an endpoint's slots or a plan's allowance, while processes die, answers are lost
- * or late, clocks differ, the owner changes, endpoints leave and allowances change.
+ * Guards against more slots in use than an endpoint has or a plan is allowed, while processes fail, responses are lost
+ * or delayed, clocks differ, the owner changes, endpoints leave and allowances change.
  */
 class SlotSafetyTest {
     private class Process(val id: String, val skewMs: Long, clock: () -> Long, random: Random) {
         val pool = SlotPool({ clock() + skewMs }, LatencyTracker(clock), random)
         val leases = ArrayList<Pair<SlotLease, String>>()
         var heldUntilMs = 0L
-        var muted = false
+        var isDisconnected = false
         val pending = ArrayDeque<AllotmentRequest>()
-        val answers = ArrayDeque<Allotments>()
+        val responses = ArrayDeque<Allotments>()
     }
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6, 7, 8])
-    fun `slots in use never exceed endpoint slots or allowances`(seed: Long) = World(Random(seed)).run()
+    fun `slots in use never exceed endpoint slots or allowances`(seed: Long) = Simulation(Random(seed)).run()
 
-    private class World(private val random: Random) {
+    private class Simulation(private val random: Random) {
         private var nowMs = 1_000_000L
         private var actUntilMs = 0L
-        private var born = 0
+        private var createdProcesses = 0
         private val plans = listOf("utility", "solvgaard")
         private var endpoints = (1..5).map { EndpointSlots("e$it", "a:$it", "stock", 4) }
         private var allowances = plans.map { Allowance(it, "dc1", Resources.NONE, 12) }
         private var allocator = newLedger()
         private val processes = ArrayList<Process>()
-        private var handedOut = 0
+        private var takenSlots = 0
 
         private fun newLedger() = SlotAllocator("dc1", { nowMs }, { actUntilMs }).also {
             it.setEndpoints(endpoints)
@@ -43,9 +43,9 @@
         }
 
         private fun newProcess() {
-            // Pools differ from the owner by up to half the drift, so any two clocks differ by at most the drift.
+            // Up to half of the maximum skew from the owner's clock, so any two clocks differ by at most the maximum.
             val skewMs = random.nextLong(-MAX_CLOCK_SKEW_MS / 2, MAX_CLOCK_SKEW_MS / 2 + 1)
-            processes += Process("p${born++}", skewMs, { nowMs }, random)
+            processes += Process("p${createdProcesses++}", skewMs, { nowMs }, random)
         }
 
         fun run() {
@@ -55,52 +55,55 @@
                 step(processes.random(random))
                 if (random.nextInt(5) == 0) check()
             }
-            assertTrue(handedOut > 1_000, "only $handedOut slots were handed out")
+            assertTrue(takenSlots > 1_000, "only $takenSlots slots were leased")
         }
 
         private fun step(process: Process) {
             if (nowMs >= actUntilMs - 1_500) actUntilMs = nowMs + 2_750
-            endOutdated(process)
+            releaseExpired(process)
             when (random.nextInt(1_000)) {
-                in 0..99 -> ask(process)
+                in 0..99 -> requestSlots(process)
                 in 100..249 -> deliver(process)
                 in 250..849 -> take(process)
                 in 850..989 -> release(process)
                 in 990..991 -> replaceProcess(process)
                 992 -> changeEndpoints()
-                994 -> process.muted = !process.muted
+                994 -> process.isDisconnected = !process.isDisconnected
                 993 -> changeOwner()
                 else -> Unit
             }
         }
 
-        /** Requests end soon after the deadline of a process that lost contact; the ledger cannot know of others. */
-        private fun endOutdated(process: Process) {
+        /**
+         * Ends all requests of a process whose grant has expired: the allocator cannot count requests that run longer
+         * than that.
+         */
+        private fun releaseExpired(process: Process) {
             if (nowMs + process.skewMs < process.heldUntilMs) return
             while (process.leases.isNotEmpty()) release(process)
         }
 
-        private fun ask(process: Process) {
-            if (process.muted) return
+        private fun requestSlots(process: Process) {
+            if (process.isDisconnected) return
             val demand = plans.map { plan ->
                 SlotDemand("stock", plan, random.nextInt(0, 20), process.leases.count { it.second == plan })
             }
             process.pending += process.pool.allotmentRequest("dc1", process.id, demand)
         }
 
-        /** Delivers requests and answers late, out of order, twice or never. */
+        /** Delivers requests and responses late, out of order, twice or never. */
         private fun deliver(process: Process) {
-            if (process.muted) return
+            if (process.isDisconnected) return
             if (process.pending.isNotEmpty()) {
                 val request = process.pending.random(random)
                 if (random.nextInt(4) > 0) process.pending.remove(request)
-                process.answers += allocator.allocate(request)
+                process.responses += allocator.allocate(request)
             }
-            if (process.answers.isNotEmpty() && random.nextInt(3) > 0) {
-                val answer = process.answers.random(random)
-                if (random.nextInt(4) > 0) process.answers.remove(answer)
-                process.pool.apply("dc1", answer)
-                process.heldUntilMs = maxOf(process.heldUntilMs, answer.list.maxOfOrNull { it.untilMs } ?: 0)
+            if (process.responses.isNotEmpty() && random.nextInt(3) > 0) {
+                val response = process.responses.random(random)
+                if (random.nextInt(4) > 0) process.responses.remove(response)
+                process.pool.apply("dc1", response)
+                process.heldUntilMs = maxOf(process.heldUntilMs, response.list.maxOfOrNull { it.untilMs } ?: 0)
             }
         }
 
@@ -108,7 +111,7 @@
             val plan = plans.random(random)
             val lease = process.pool.take("stock", plan) ?: return
             process.leases += lease to plan
-            handedOut++
+            takenSlots++
         }
 
         private fun release(process: Process) {
@@ -127,7 +130,7 @@
             allocator.setEndpoints(endpoints)
         }
 
-        /** A takeover: the new ledger is created after the old owner's deadline; requests in flight have ended. */
+        /** A new owner creates its allocator after the previous owner's deadline; requests in flight have ended. */
         private fun changeOwner() {
             nowMs = actUntilMs + 2 * MAX_CLOCK_SKEW_MS
             processes.forEach { process -> while (process.leases.isNotEmpty()) release(process) }
--- a/requests/src/test/kotlin/dev/bronzeshore/requests/TestEndpoint.kt
+++ b/requests/src/test/kotlin/dev/bronzeshore/requests/TestEndpoint.kt
@@ -1,4 +1,4 @@
-/** A small HTTP/1.1 server on loopback whose answers, and failures, the test scripts. */
+/** HTTP/1.1 server on the loopback interface with responses and failures scripted by the test. */
 package dev.bronzeshore.requests
 
 import java.io.BufferedInputStream
@@ -10,7 +10,7 @@
 import java.util.concurrent.CopyOnWriteArrayList
 import kotlin.concurrent.thread
 
-/** One request as the server read it; the body is still on [input]. */
+/** A request as received by the server; the body has yet to be read from [input]. */
 internal class TestExchange(
     val requestLine: String,
     val headers: List<HeaderLine>,
@@ -19,30 +19,30 @@
 ) {
     fun header(name: String): String? = headers.firstOrNull { it.name.equals(name, ignoreCase = true) }?.value
 
-    /** Reads the body and returns its length; null if it broke off. */
+    /** Reads the body and returns its length, or null if it is truncated. */
     fun readBody(take: (ByteArray, Int) -> Unit = { _, _ -> }): Long? {
-        if (header("Transfer-Encoding") != "chunked") return readPart(header("Content-Length")?.toLong() ?: 0, take)
+        if (header("Transfer-Encoding") != "chunked") return readBytes(header("Content-Length")?.toLong() ?: 0, take)
         var total = 0L
         while (true) {
             val size = input.readLine()?.toLongOrNull(16) ?: return null
-            total += readPart(size, take) ?: return null
+            total += readBytes(size, take) ?: return null
             input.readLine() ?: return null
             if (size == 0L) return total
         }
     }
 
-    fun answer(body: String, status: String = "200 OK") {
+    fun respond(body: String, status: String = "200 OK") {
         output.write("HTTP/1.1 $status\r\nContent-Length: ${body.length}\r\n\r\n$body".toByteArray())
     }
 
-    private fun readPart(length: Long, take: (ByteArray, Int) -> Unit): Long? {
+    private fun readBytes(length: Long, take: (ByteArray, Int) -> Unit): Long? {
         val buffer = ByteArray(65_536)
-        var left = length
-        while (left > 0) {
-            val count = input.read(buffer, 0, minOf(left, buffer.size.toLong()).toInt())
+        var remaining = length
+        while (remaining > 0) {
+            val count = input.read(buffer, 0, minOf(remaining, buffer.size.toLong()).toInt())
             if (count < 0) return null
             take(buffer, count)
-            left -= count
+            remaining -= count
         }
         return length
     }
@@ -86,7 +86,7 @@
         serve(TestExchange(requestLine, headers, input, socket.getOutputStream()))
         socket.getOutputStream().flush()
         socket.shutdownOutput()
-        // Waits for the other side to close, so that unread input does not reset the connection.
+        // Waits until the client closes the connection: closing with unread input would reset it.
         while (input.read() >= 0) Unit
     }
 
@@ -96,7 +96,7 @@
     }
 }
 
-/** An address on which nothing listens. */
+/** An address on which no server listens. */
 internal fun closedAddress(): String = ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use {
     "127.0.0.1:${it.localPort}"
 }
