--- a/requests/src/main/kotlin/dev/bronzeshore/requests/BodyFraming.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/BodyFraming.kt
@@ -45,23 +45,19 @@
 /** Reads a body in blocks; throws [IOException] if the connection ends before the body is complete. */
 internal class BodyReader(private val source: ByteReadChannel, private val framing: Framing) {
     /** Remaining bytes of the body or of the current chunk. */
-    private var remainingBytes = if (framing is Framing.Length) framing.bytes else 0L
+    private var remaining = if (framing is Framing.Length) framing.bytes else 0L
     private var isEnded = framing == Framing.None
     private var firstChunk = true
 
     /** Returns the number of bytes read into [buffer], or -1 at the end of the body. */
     suspend fun read(buffer: ByteArray): Int {
-        if (framing == Framing.Chunked && remainingBytes == 0L && !isEnded) readChunkHeader()
-        if (framing is Framing.Length && remainingBytes == 0L) isEnded = true
+        if (framing == Framing.Chunked && remaining == 0L && !isEnded) readChunkHeader()
+        if (framing is Framing.Length && remaining == 0L) isEnded = true
         if (isEnded) return -1
         if (framing == Framing.UntilClose) return source.readOrFail(buffer, buffer.size)
-        val count = source.readOrFail(buffer, minOf(buffer.size.toLong(), remainingBytes).toInt())
-        if (count <
-            0
-        ) {
-            throw EOFException("the connection ended $remainingBytes bytes before the end of the body or chunk")
-        }
-        remainingBytes -= count
+        val count = source.readOrFail(buffer, minOf(buffer.size.toLong(), remaining).toInt())
+        if (count < 0) throw EOFException("the connection ended $remaining bytes before the end of the body or chunk")
+        remaining -= count
         return count
     }
 
@@ -72,9 +68,9 @@
         if (!firstChunk && readLine().isNotEmpty()) throw IOException("a chunk is longer than its size says")
         firstChunk = false
         val size = readLine().substringBefore(';').trim()
-        remainingBytes =
+        remaining =
             size.toLongOrNull(HEX)?.takeIf { it >= 0 } ?: throw IOException("the chunk size '$size' is malformed")
-        if (remainingBytes > 0) return
+        if (remaining > 0) return
         // Trailers are not forwarded.
         while (readLine().isNotEmpty()) Unit
         isEnded = true
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/FloodSimulation.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/FloodSimulation.kt
@@ -130,17 +130,17 @@
          * compared with refusing it while the queue is full.
          */
         public fun decisionCost(rounds: Int = 1_000_000): DecisionCost {
-            val fullQueue =
+            val full =
                 FloodSimulation(FloodScenario(limits = AdmissionLimits(maxWaitingPerKind = 0)), FloodPolicy.FAIR)
-            val openQueue = FloodSimulation(FloodScenario(), FloodPolicy.FAIR)
-            fullQueue.prepare()
-            fullQueue.queue.tick()
-            openQueue.prepare()
+            val open = FloodSimulation(FloodScenario(), FloodPolicy.FAIR)
+            full.prepare()
+            full.queue.tick()
+            open.prepare()
             repeat(2) {
-                openQueue.serveNanos(rounds)
-                fullQueue.refuseNanos(rounds)
+                open.serveNanos(rounds)
+                full.refuseNanos(rounds)
             }
-            return DecisionCost(openQueue.serveNanos(rounds), fullQueue.refuseNanos(rounds))
+            return DecisionCost(open.serveNanos(rounds), full.refuseNanos(rounds))
         }
     }
 
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/HeldSlots.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/HeldSlots.kt
@@ -6,7 +6,7 @@
     val key: SlotKey,
     val dataCentre: String,
     val address: String,
-    val servicePlan: ServicePlanSlots,
+    val planSlots: ServicePlanSlots,
 ) {
     /** Changed only by [ServicePlanSlots], which maintains the totals; likewise [inUse]. */
     var slots: Int = 0
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/ServicePlanSlots.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/ServicePlanSlots.kt
@@ -5,10 +5,10 @@
 
 /** Totals over all endpoints, and those with a free slot, which are added and removed in constant time. */
 internal class ServicePlanSlots(val key: ServicePlanKey) {
-    private val candidateList = ArrayList<HeldSlots>()
+    private val open = ArrayList<HeldSlots>()
 
     /** Endpoints that had a free slot when last updated; their deadlines may have passed since. */
-    val candidates: List<HeldSlots> get() = candidateList
+    val candidates: List<HeldSlots> get() = open
     var inUse: Int = 0
         private set
 
@@ -60,14 +60,14 @@
     }
 
     private fun add(held: HeldSlots) {
-        held.candidateIndex = candidateList.size
-        candidateList.add(held)
+        held.candidateIndex = open.size
+        open.add(held)
     }
 
     private fun remove(held: HeldSlots) {
-        val last = candidateList.removeAt(candidateList.lastIndex)
+        val last = open.removeAt(open.lastIndex)
         if (last !== held) {
-            candidateList[held.candidateIndex] = last
+            open[held.candidateIndex] = last
             last.candidateIndex = held.candidateIndex
         }
         held.candidateIndex = -1
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/SlotPool.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/SlotPool.kt
@@ -34,13 +34,13 @@
         for (entry in held.values.filter { it.dataCentre == dataCentre }) {
             val slots = granted[entry.key]?.slots ?: 0
             if (slots < entry.slots) isReduced = true
-            entry.servicePlan.setSlots(entry, slots)
+            entry.planSlots.setSlots(entry, slots)
             updateEntry(entry, nowMs)
         }
         for ((key, allotment) in granted) {
             val entry = entryOf(key, dataCentre, allotment)
             entry.untilMs = allotment.untilMs
-            entry.servicePlan.setSlots(entry, allotment.slots)
+            entry.planSlots.setSlots(entry, allotment.slots)
             updateEntry(entry, nowMs)
         }
         return isReduced
@@ -48,13 +48,13 @@
 
     /** Leases a slot for a request of [plan] to [service]; returns null if none is free. */
     fun take(service: String, plan: String): SlotLease? {
-        val servicePlan = servicePlans[ServicePlanKey(service, plan)] ?: return null
+        val planSlots = servicePlans[ServicePlanKey(service, plan)] ?: return null
         val nowMs = clock()
-        while (servicePlan.candidates.isNotEmpty()) {
-            val entry = chooser.choose(servicePlan.candidates)
+        while (planSlots.candidates.isNotEmpty()) {
+            val entry = chooser.choose(planSlots.candidates)
             val hasFreeSlot = entry.hasFreeSlot(nowMs)
             if (hasFreeSlot) changeInUse(entry, 1)
-            servicePlan.updateCandidate(entry, nowMs)
+            planSlots.updateCandidate(entry, nowMs)
             if (hasFreeSlot) return SlotLease(entry)
         }
         return null
@@ -79,8 +79,8 @@
 
     /** Number of a plan's requests in flight at a service's endpoints in one data centre. */
     fun inUse(dataCentre: String, service: String, plan: String): Int {
-        val servicePlan = servicePlans[ServicePlanKey(service, plan)] ?: return 0
-        return held.values.sumOf { if (it.servicePlan === servicePlan && it.dataCentre == dataCentre) it.inUse else 0 }
+        val planSlots = servicePlans[ServicePlanKey(service, plan)] ?: return 0
+        return held.values.sumOf { if (it.planSlots === planSlots && it.dataCentre == dataCentre) it.inUse else 0 }
     }
 
     /** Maximum number of requests in flight at a time during the last one to two seconds. */
@@ -98,7 +98,7 @@
     fun dropExpired() {
         val nowMs = clock()
         for (entry in held.values.filter { nowMs >= it.untilMs }) {
-            entry.servicePlan.setSlots(entry, 0)
+            entry.planSlots.setSlots(entry, 0)
             updateEntry(entry, nowMs)
         }
     }
@@ -117,35 +117,30 @@
 
     private fun entryOf(key: SlotKey, dataCentre: String, allotment: SlotAllotment): HeldSlots {
         val current = held[key]
-        val servicePlan = servicePlans.getOrPut(ServicePlanKey(allotment.service, key.plan)) {
+        val planSlots = servicePlans.getOrPut(ServicePlanKey(allotment.service, key.plan)) {
             ServicePlanSlots(ServicePlanKey(allotment.service, key.plan))
         }
-        if (current != null &&
-            current.address == allotment.address &&
-            current.servicePlan === servicePlan
-        ) {
-            return current
-        }
+        if (current != null && current.address == allotment.address && current.planSlots === planSlots) return current
         if (current != null) retire(current)
-        val entry = HeldSlots(key, dataCentre, allotment.address, servicePlan)
+        val entry = HeldSlots(key, dataCentre, allotment.address, planSlots)
         held[key] = entry
         return entry
     }
 
     /** Stops using an entry whose endpoint was replaced by another one with the same id. */
     private fun retire(entry: HeldSlots) {
-        entry.servicePlan.setSlots(entry, 0)
-        entry.servicePlan.updateCandidate(entry, clock())
+        entry.planSlots.setSlots(entry, 0)
+        entry.planSlots.updateCandidate(entry, clock())
     }
 
     private fun updateEntry(entry: HeldSlots, nowMs: Long) {
-        if (entry.key.endpointId in leaving) entry.servicePlan.setSlots(entry, 0)
-        entry.servicePlan.updateCandidate(entry, nowMs)
+        if (entry.key.endpointId in leaving) entry.planSlots.setSlots(entry, 0)
+        entry.planSlots.updateCandidate(entry, nowMs)
         if (entry.slots == 0 && entry.inUse == 0) held.remove(entry.key, entry)
     }
 
     private fun changeInUse(entry: HeldSlots, change: Int) {
-        entry.servicePlan.changeInUse(entry, change, clock())
+        entry.planSlots.changeInUse(entry, change, clock())
         val atEndpoint = (inUseAt[entry.key.endpointId] ?: 0) + change
         if (atEndpoint == 0) inUseAt.remove(entry.key.endpointId) else inUseAt[entry.key.endpointId] = atEndpoint
     }
--- a/requests/src/test/kotlin/dev/bronzeshore/requests/RequestProxyTest.kt
+++ b/requests/src/test/kotlin/dev/bronzeshore/requests/RequestProxyTest.kt
@@ -101,7 +101,7 @@
     }
 
     @Test
-    fun `guards against a body that is buffered while the endpoint does not read, or still sent after a cancellation`() {
+    fun `guards against a body that is buffered while the endpoint does not read or sent after a cancellation`() {
         val started = CompletableDeferred<Unit>()
         val checked = CompletableDeferred<Unit>()
         val seen = CompletableDeferred<Long?>()
