--- a/requests/src/main/kotlin/dev/bronzeshore/requests/BodyFraming.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/BodyFraming.kt
@@ -71,7 +71,7 @@
         remaining =
             size.toLongOrNull(HEX)?.takeIf { it >= 0 } ?: throw IOException("the chunk size '$size' is malformed")
         if (remaining > 0) return
-        // Trailers are not forwarded.
+        // Trailers are treated as hop-by-hop and dropped.
         while (readLine().isNotEmpty()) Unit
         isEnded = true
     }
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/FloodSimulation.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/FloodSimulation.kt
@@ -10,7 +10,7 @@
 import kotlin.random.Random
 
 /** Simulates one [FloodScenario] with the real [AdmissionQueue] and [SlotPool]. */
-public class FloodSimulation internal constructor(private val setup: FloodScenario, pick: KindPicker) {
+public class FloodSimulation internal constructor(private val scenario: FloodScenario, pick: KindPicker) {
     private class Event(val atMicros: Long, val run: () -> Unit)
 
     private class Counts(val kind: FloodKind, val random: Random, val load: Double) {
@@ -22,19 +22,19 @@
 
     private var nowMicros = START_MICROS
     private val events = PriorityQueue<Event>(compareBy { it.atMicros })
-    private val serviceTimeRandom = Random(setup.seed)
+    private val serviceTimeRandom = Random(scenario.seed)
     private val clock = { nowMicros / MICROS_PER_MS }
-    private val pool = SlotPool(clock, LatencyTracker(clock), Random(setup.seed + 1))
-    private val queue = AdmissionQueue(clock, pool, setup.limits, pick)
-    private val slots = setup.endpoints * setup.slotsPerEndpoint
-    private val endMicros = START_MICROS + setup.runMs * MICROS_PER_MS
-    private val counts = setup.kinds.mapIndexed { index, kind ->
-        val load = if (kind.name == setup.flooded) setup.floodLoad else kind.load
-        Counts(kind, Random(setup.seed + 2 + index), load)
+    private val pool = SlotPool(clock, LatencyTracker(clock), Random(scenario.seed + 1))
+    private val queue = AdmissionQueue(clock, pool, scenario.limits, pick)
+    private val slots = scenario.endpoints * scenario.slotsPerEndpoint
+    private val endMicros = START_MICROS + scenario.runMs * MICROS_PER_MS
+    private val counts = scenario.kinds.mapIndexed { index, kind ->
+        val load = if (kind.name == scenario.flooded) scenario.floodLoad else kind.load
+        Counts(kind, Random(scenario.seed + 2 + index), load)
     }
     private var usedMicros = 0L
 
-    public constructor(setup: FloodScenario, policy: FloodPolicy) : this(setup, pickerOf(policy))
+    public constructor(scenario: FloodScenario, policy: FloodPolicy) : this(scenario, pickerOf(policy))
 
     /** Runs the simulation to its end. */
     public fun run(): FloodReport {
@@ -47,21 +47,21 @@
             nowMicros = event.atMicros
             event.run()
         }
-        val used = usedMicros.toDouble() / (slots * setup.runMs * MICROS_PER_MS)
+        val used = usedMicros.toDouble() / (slots * scenario.runMs * MICROS_PER_MS)
         return FloodReport(counts.map { statsOf(it) }, used)
     }
 
     private fun prepare() {
-        val kinds = setup.kinds.map { WorkKind(it.name, it.policy, it.weight, SERVICE) }
+        val kinds = scenario.kinds.map { WorkKind(it.name, it.policy, it.weight, SERVICE) }
         queue.configure(listOf(Plan(PLAN, "", kinds)))
-        val list = (1..setup.endpoints).map {
-            SlotAllotment("e$it", "", SERVICE, PLAN, setup.slotsPerEndpoint, Long.MAX_VALUE)
+        val list = (1..scenario.endpoints).map {
+            SlotAllotment("e$it", "", SERVICE, PLAN, scenario.slotsPerEndpoint, Long.MAX_VALUE)
         }
         pool.apply("dc1", Allotments(list, 1))
     }
 
     private fun scheduleArrival(counts: Counts) {
-        val meanMicros = setup.meanServiceMs * MICROS_PER_MS / (slots * counts.load)
+        val meanMicros = scenario.meanServiceMs * MICROS_PER_MS / (slots * counts.load)
         val atMicros = nowMicros + exponential(counts.random, meanMicros)
         events.add(
             Event(atMicros) {
@@ -97,7 +97,7 @@
 
     private fun start(counts: Counts, request: QueuedRequest, lease: SlotLease, arrivedMicros: Long) {
         counts.waits.recordValue(minOf(nowMicros - arrivedMicros, MAX_WAIT_MICROS))
-        val serviceMicros = exponential(serviceTimeRandom, setup.meanServiceMs * MICROS_PER_MS)
+        val serviceMicros = exponential(serviceTimeRandom, scenario.meanServiceMs * MICROS_PER_MS)
         usedMicros += minOf(serviceMicros, endMicros - nowMicros)
         events.add(Event(nowMicros + serviceMicros) { queue.release(request, lease) })
     }
--- a/requests/src/test/kotlin/dev/bronzeshore/requests/SlotSafetyTest.kt
+++ b/requests/src/test/kotlin/dev/bronzeshore/requests/SlotSafetyTest.kt
@@ -33,11 +33,11 @@
         private val plans = listOf("utility", "solvgaard")
         private var endpoints = (1..5).map { EndpointSlots("e$it", "a:$it", "stock", 4) }
         private var allowances = plans.map { Allowance(it, "dc1", Resources.NONE, 12) }
-        private var allocator = newLedger()
+        private var allocator = newAllocator()
         private val processes = ArrayList<Process>()
         private var takenSlots = 0
 
-        private fun newLedger() = SlotAllocator("dc1", { nowMs }, { actUntilMs }).also {
+        private fun newAllocator() = SlotAllocator("dc1", { nowMs }, { actUntilMs }).also {
             it.setEndpoints(endpoints)
             it.setAllowances(allowances)
         }
@@ -134,7 +134,7 @@
         private fun changeOwner() {
             nowMs = actUntilMs + 2 * MAX_CLOCK_SKEW_MS
             processes.forEach { process -> while (process.leases.isNotEmpty()) release(process) }
-            allocator = newLedger()
+            allocator = newAllocator()
         }
 
         private fun check() {
