--- a/requests/src/main/kotlin/dev/bronzeshore/requests/FloodSimulation.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/FloodSimulation.kt
@@ -1,4 +1,4 @@
-/** Admission under a flood, on simulated time and without sockets. */
+/** Simulation of admission control during a flood of requests, in virtual time and without sockets. */
 package dev.bronzeshore.requests
 
 import dev.bronzeshore.core.Plan
@@ -9,8 +9,8 @@
 import kotlin.math.ln
 import kotlin.random.Random
 
-/** Runs one flood trial through [AdmissionQueue] and [SlotPool]. */
-public class FloodSimulation internal constructor(private val setup: FloodScenario, pick: KindPicker) {
+/** Simulates one [FloodScenario] with the real [AdmissionQueue] and [SlotPool]. */
+public class FloodSimulation internal constructor(private val scenario: FloodScenario, pick: KindPicker) {
     private class Event(val atMicros: Long, val run: () -> Unit)
 
     private class Counts(val kind: FloodKind, val random: Random, val load: Double) {
@@ -22,21 +22,21 @@
 
     private var nowMicros = START_MICROS
     private val events = PriorityQueue<Event>(compareBy { it.atMicros })
-    private val service = Random(setup.seed)
+    private val serviceTimeRandom = Random(scenario.seed)
     private val clock = { nowMicros / MICROS_PER_MS }
-    private val pool = SlotPool(clock, LatencyTracker(clock), Random(setup.seed + 1))
-    private val queue = AdmissionQueue(clock, pool, setup.limits, pick)
-    private val slots = setup.endpoints * setup.slotsPerEndpoint
-    private val endMicros = START_MICROS + setup.runMs * MICROS_PER_MS
-    private val counts = setup.kinds.mapIndexed { index, kind ->
-        val load = if (kind.name == setup.flooded) setup.floodLoad else kind.load
-        Counts(kind, Random(setup.seed + 2 + index), load)
+    private val pool = SlotPool(clock, LatencyTracker(clock), Random(scenario.seed + 1))
+    private val queue = AdmissionQueue(clock, pool, scenario.limits, pick)
+    private val slots = scenario.endpoints * scenario.slotsPerEndpoint
+    private val endMicros = START_MICROS + scenario.runMs * MICROS_PER_MS
+    private val counts = scenario.kinds.mapIndexed { index, kind ->
+        val load = if (kind.name == scenario.flooded) scenario.floodLoad else kind.load
+        Counts(kind, Random(scenario.seed + 2 + index), load)
     }
     private var usedMicros = 0L
 
-    public constructor(setup: FloodScenario, policy: FloodPolicy) : this(setup, pickerOf(policy))
+    public constructor(scenario: FloodScenario, policy: FloodPolicy) : this(scenario, pickerOf(policy))
 
-    /** Runs the trial to its end. */
+    /** Runs the simulation to its end. */
     public fun run(): FloodReport {
         prepare()
         counts.forEach { scheduleArrival(it) }
@@ -47,21 +47,21 @@
             nowMicros = event.atMicros
             event.run()
         }
-        val used = usedMicros.toDouble() / (slots * setup.runMs * MICROS_PER_MS)
-        return FloodReport(counts.map { figuresOf(it) }, used)
+        val used = usedMicros.toDouble() / (slots * scenario.runMs * MICROS_PER_MS)
+        return FloodReport(counts.map { statsOf(it) }, used)
     }
 
     private fun prepare() {
-        val kinds = setup.kinds.map { WorkKind(it.name, it.policy, it.weight, SERVICE) }
+        val kinds = scenario.kinds.map { WorkKind(it.name, it.policy, it.weight, SERVICE) }
         queue.configure(listOf(Plan(PLAN, "", kinds)))
-        val list = (1..setup.endpoints).map {
-            SlotAllotment("e$it", "", SERVICE, PLAN, setup.slotsPerEndpoint, Long.MAX_VALUE)
+        val list = (1..scenario.endpoints).map {
+            SlotAllotment("e$it", "", SERVICE, PLAN, scenario.slotsPerEndpoint, Long.MAX_VALUE)
         }
         pool.apply("dc1", Allotments(list, 1))
     }
 
     private fun scheduleArrival(counts: Counts) {
-        val meanMicros = setup.meanServiceMs * MICROS_PER_MS / (slots * counts.load)
+        val meanMicros = scenario.meanServiceMs * MICROS_PER_MS / (slots * counts.load)
         val atMicros = nowMicros + exponential(counts.random, meanMicros)
         events.add(
             Event(atMicros) {
@@ -91,18 +91,18 @@
                     is AdmissionDecision.Refused -> counts.expired++
                 }
             }
-        val fault = queue.standingRefusal(PLAN, counts.kind.name) ?: queue.enqueue(request)
+        val fault = queue.queueFullFault(PLAN, counts.kind.name) ?: queue.enqueue(request)
         if (fault != null) counts.refused++
     }
 
     private fun start(counts: Counts, request: QueuedRequest, lease: SlotLease, arrivedMicros: Long) {
         counts.waits.recordValue(minOf(nowMicros - arrivedMicros, MAX_WAIT_MICROS))
-        val tookMicros = exponential(service, setup.meanServiceMs * MICROS_PER_MS)
-        usedMicros += minOf(tookMicros, endMicros - nowMicros)
-        events.add(Event(nowMicros + tookMicros) { queue.release(request, lease) })
+        val serviceMicros = exponential(serviceTimeRandom, scenario.meanServiceMs * MICROS_PER_MS)
+        usedMicros += minOf(serviceMicros, endMicros - nowMicros)
+        events.add(Event(nowMicros + serviceMicros) { queue.release(request, lease) })
     }
 
-    private fun figuresOf(counts: Counts): FloodKindStats = FloodKindStats(
+    private fun statsOf(counts: Counts): FloodKindStats = FloodKindStats(
         counts.kind.name,
         counts.offered,
         counts.waits.totalCount,
@@ -126,11 +126,12 @@
         private const val SERVICE = "service"
 
         /**
-         * Measures the decisions for one request on the real clock: queueing, choice of a slot and its release, against
-         * a refusal while the queue is full.
+         * Measures the real time of the decisions for one request: to queue it, choose a slot and release the slot,
+         * compared with refusing it while the queue is full.
          */
         public fun decisionCost(rounds: Int = 1_000_000): DecisionCost {
-            val full = FloodSimulation(FloodScenario(limits = AdmissionLimits(waitingPerKind = 0)), FloodPolicy.FAIR)
+            val full =
+                FloodSimulation(FloodScenario(limits = AdmissionLimits(maxWaitingPerKind = 0)), FloodPolicy.FAIR)
             val open = FloodSimulation(FloodScenario(), FloodPolicy.FAIR)
             full.prepare()
             full.queue.tick()
@@ -144,7 +145,7 @@
     }
 
     private fun serveNanos(rounds: Int): Double {
-        val began = System.nanoTime()
+        val startNanos = System.nanoTime()
         repeat(rounds) {
             nowMicros += 1
             var lease: SlotLease? = null
@@ -155,27 +156,27 @@
             queue.enqueue(request)
             queue.release(request, checkNotNull(lease))
         }
-        return (System.nanoTime() - began).toDouble() / rounds
+        return (System.nanoTime() - startNanos).toDouble() / rounds
     }
 
     private fun refuseNanos(rounds: Int): Double {
-        val began = System.nanoTime()
+        val startNanos = System.nanoTime()
         repeat(rounds) {
             nowMicros += 1
-            val fault = queue.standingRefusal(PLAN, "interactive")
+            val fault = queue.queueFullFault(PLAN, "interactive")
             check(fault?.code == ResultCode.QUEUE_FULL)
         }
-        return (System.nanoTime() - began).toDouble() / rounds
+        return (System.nanoTime() - startNanos).toDouble() / rounds
     }
 }
 
 private fun pickerOf(policy: FloodPolicy): KindPicker = when (policy) {
     FloodPolicy.FAIR -> FairPicker()::pick
     FloodPolicy.FAIR_WITHOUT_RESERVE -> FairPicker(reserveDeviations = null)::pick
-    FloodPolicy.FIFO -> pickByHead { it.order }
+    FloodPolicy.FIFO -> pickByHead { it.sequence }
     FloodPolicy.STRICT_PRIORITY -> pickByHead { it.startBeforeMs }
 }
 
-private fun pickByHead(key: (QueuedRequest) -> Long): KindPicker = { lane ->
-    lane.kinds.filter { it.waiting > 0 }.minByOrNull { kind -> kind.head()?.let(key) ?: Long.MAX_VALUE }
+private fun pickByHead(key: (QueuedRequest) -> Long): KindPicker = { state ->
+    state.kinds.filter { it.waiting > 0 }.minByOrNull { kind -> kind.head()?.let(key) ?: Long.MAX_VALUE }
 }
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/RequestProxy.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/RequestProxy.kt
@@ -1,4 +1,4 @@
-/** Streams requests to endpoints and their answers back. */
+/** Streaming of requests to endpoints and of their responses to callers. */
 package dev.bronzeshore.requests
 
 import dev.bronzeshore.core.ClockMs
@@ -18,18 +18,18 @@
 import java.io.IOException
 
 /**
- * Runs one exchange at a time over a connection of its own. Thread-safe.
+ * Opens a separate connection to the endpoint for each exchange. Thread-safe.
  *
- * It uses Ktor's sockets and parser but not its CIO client: that client takes a chunked answer that breaks off between
- * two chunks as whole, and may complete a chunked body whose source failed. Bodies pass through a small buffer.
- * Cancelling the caller's coroutine closes the endpoint's connection.
+ * Uses Ktor's sockets and parser but not its CIO client: that client treats a chunked response that is truncated
+ * between two chunks as complete, and may complete a chunked request body whose source failed. Bodies are copied
+ * through a small buffer. Cancelling the caller's coroutine closes the connection to the endpoint.
  */
-public class RequestProxy(traffic: CoroutineDispatcher, private val clock: ClockMs) : AutoCloseable {
-    private val selector = SelectorManager(traffic)
+public class RequestProxy(ioDispatcher: CoroutineDispatcher, private val clock: ClockMs) : AutoCloseable {
+    private val selector = SelectorManager(ioDispatcher)
 
     override fun close(): Unit = selector.close()
 
-    /** Sends the request unless [sendByMs] has passed by the time that the connection is open. */
+    /** Sends the request unless [sendByMs] has passed when the connection is established. */
     internal suspend fun attempt(
         address: String,
         request: IncomingRequest,
@@ -44,7 +44,7 @@
                 currentCoroutineContext().ensureActive()
                 return AttemptEnd.NotSent(failure.toString())
             }
-        // Connecting takes time, and this process may have been paused.
+        // Connecting takes time, and the process may have been paused.
         if (clock() > sendByMs) {
             socket.close()
             return AttemptEnd.NotSent("the deadline passed before the request was sent", isReachable = true)
@@ -64,7 +64,7 @@
         private val body: ReplayableBody,
         private val responder: Responder,
     ) {
-        private var begun = false
+        private var hasResponseStarted = false
         private var firstByteAtMs = 0L
 
         @Volatile private var callerFailure: CallerGoneException? = null
@@ -75,21 +75,21 @@
                 coroutineScope {
                     val sending = launch { send() }
                     val status = receive()
-                    // An endpoint may answer without reading the whole body.
+                    // An endpoint may respond without reading the whole body.
                     sending.cancel()
                     AttemptEnd.Answered(status, firstByteAtMs)
                 }
             }
         } catch (failure: Exception) {
             currentCoroutineContext().ensureActive()
-            endOf(failure)
+            toAttemptEnd(failure)
         }
 
-        private fun endOf(failure: Exception): AttemptEnd {
+        private fun toAttemptEnd(failure: Exception): AttemptEnd {
             val caller = callerFailure ?: failure as? CallerGoneException
             return when {
                 caller != null -> AttemptEnd.CallerGone(caller.message.orEmpty())
-                begun -> AttemptEnd.AnswerBroken(failure.toString())
+                hasResponseStarted -> AttemptEnd.AnswerBroken(failure.toString())
                 else -> AttemptEnd.Unanswered(failure.toString())
             }
         }
@@ -101,7 +101,7 @@
                 callerFailure = failure
                 connection.close()
             } catch (failure: IOException) {
-                // The endpoint may have answered before it closed; if not, receiving fails too.
+                // The endpoint may have responded before it closed the connection; if not, receiving fails as well.
                 currentCoroutineContext().ensureActive()
             }
         }
@@ -109,36 +109,36 @@
         private suspend fun receive(): Int {
             val head = connection.receiveHead(request.method)
             firstByteAtMs = clock()
-            begun = true
-            var broken: IOException? = null
+            hasResponseStarted = true
+            var endpointFailure: IOException? = null
             try {
-                responder(head.toAnswerHead()) { sink ->
+                responder(head.toResponseHead()) { sink ->
                     try {
-                        passOn(connection.reader(head), sink)
+                        streamBody(connection.reader(head), sink)
                     } catch (failure: EndpointFailure) {
-                        broken = failure
+                        endpointFailure = failure
                         throw failure
                     }
                 }
             } catch (failure: Exception) {
                 currentCoroutineContext().ensureActive()
-                throw broken ?: CallerGoneException(failure)
+                throw endpointFailure ?: CallerGoneException(failure)
             }
             return head.status
         }
 
-        private suspend fun passOn(reader: BodyReader, sink: ByteWriteChannel) {
+        private suspend fun streamBody(reader: BodyReader, sink: ByteWriteChannel) {
             val buffer = ByteArray(COPY_BUFFER_BYTES)
             while (true) {
-                val count = readAnswer(reader, buffer)
+                val count = readResponseBody(reader, buffer)
                 if (count < 0) break
                 sink.writeFully(buffer, 0, count)
-                if (reader.mayWait) sink.flush()
+                if (reader.mightSuspend) sink.flush()
             }
             sink.flush()
         }
 
-        private suspend fun readAnswer(reader: BodyReader, buffer: ByteArray): Int = try {
+        private suspend fun readResponseBody(reader: BodyReader, buffer: ByteArray): Int = try {
             reader.read(buffer)
         } catch (failure: CancellationException) {
             currentCoroutineContext().ensureActive()
@@ -148,7 +148,7 @@
         }
     }
 
-    /** Marks failures of the endpoint's connection while the answer is passed on. */
+    /** The connection to the endpoint failed while its response was forwarded. */
     private class EndpointFailure(cause: Exception) : IOException(cause.toString(), cause)
 
     private companion object {
--- a/requests/src/main/kotlin/dev/bronzeshore/requests/RouteDecisions.kt
+++ b/requests/src/main/kotlin/dev/bronzeshore/requests/RouteDecisions.kt
@@ -1,4 +1,4 @@
-/** Decisions about single requests, all taken on the control thread. */
+/** Routing decisions for a single request, all taken on the control thread. */
 package dev.bronzeshore.requests
 
 import arrow.core.Either
@@ -9,11 +9,11 @@
 import dev.bronzeshore.core.ResultCode
 import kotlinx.coroutines.CompletableDeferred
 
-/** A request that was admitted or waits, with the decision to come. */
+/** A request that is waiting or has a slot; [decision] completes when it gets a slot or is refused. */
 internal class Admission(request: IncomingRequest, startBeforeMs: Long) {
     val decision = CompletableDeferred<AdmissionDecision>()
 
-    /** The slot once the request is admitted; control state. */
+    /** The slot once the request is started; used on the control thread only. */
     var lease: SlotLease? = null
         private set
     val queued: QueuedRequest =
@@ -23,57 +23,57 @@
         }
 }
 
-/** The part of the router's control state that a request uses. Control state: not thread-safe. */
+/** The router's decisions and shared state that each request uses. Used on the control thread only: not thread-safe. */
 internal class RouteDecisions(
     val clock: ClockMs,
     private val queue: AdmissionQueue,
     private val latency: LatencyTracker,
     private val retries: RetryBudget,
     private val limits: RouterLimits,
-    private val noSlotFree: () -> Unit,
+    private val onNoFreeSlot: () -> Unit,
 ) {
-    /** The latest start of a request that arrives now. */
+    /** Latest time at which a request that arrives now may start. */
     fun startBeforeMs(request: IncomingRequest): Long = request.startBeforeMs ?: (clock() + limits.maxWaitMs)
 
     fun admit(request: IncomingRequest, startBeforeMs: Long, attempt: Int): Either<Fault, Admission> {
         val admission = Admission(request, startBeforeMs)
         val fault = if (attempt == 1) queue.enqueue(admission.queued) else queue.requeue(admission.queued)
         if (fault != null) return fault.left()
-        if (admission.queued.state == QueuedState.WAITING) noSlotFree()
+        if (admission.queued.state == QueuedState.WAITING) onNoFreeSlot()
         return admission.right()
     }
 
-    /** Gives back whatever the admission holds, also if its decision was not seen by the caller. */
-    fun giveUp(admission: Admission) {
+    /** Removes the request from the queue or releases its slot, also if the caller has not received the decision. */
+    fun cancel(admission: Admission) {
         if (queue.cancel(admission.queued)) return
         admission.lease?.let { queue.release(admission.queued, it) }
     }
 
-    /** Records how an attempt ended and frees its slot. */
-    fun ended(admission: Admission, lease: SlotLease, sentAtMs: Long, end: AttemptEnd) {
+    /** Records the result of an attempt and releases its slot. */
+    fun recordAttemptEnd(admission: Admission, lease: SlotLease, sentAtMs: Long, end: AttemptEnd) {
         when (end) {
             is AttemptEnd.Answered -> {
-                latency.answered(lease.endpointId, end.firstByteAtMs - sentAtMs)
-                retries.succeeded()
+                latency.recordResponse(lease.endpointId, end.firstByteAtMs - sentAtMs)
+                retries.recordSuccess()
             }
 
-            is AttemptEnd.NotSent -> if (!end.isReachable) latency.failed(lease.endpointId)
+            is AttemptEnd.NotSent -> if (!end.isReachable) latency.recordFailure(lease.endpointId)
 
-            is AttemptEnd.Unanswered -> latency.failed(lease.endpointId)
+            is AttemptEnd.Unanswered -> latency.recordFailure(lease.endpointId)
 
             is AttemptEnd.AnswerBroken, is AttemptEnd.CallerGone -> Unit
         }
         queue.release(admission.queued, lease)
     }
 
-    /** Says whether another attempt may follow one that ended without an answer. */
-    fun mayRetry(request: IncomingRequest, body: ReplayableBody, end: AttemptEnd, attempts: Int): Boolean = when {
+    /** Whether another attempt may follow one that ended without a response. */
+    fun canRetry(request: IncomingRequest, body: ReplayableBody, end: AttemptEnd, attempts: Int): Boolean = when {
         attempts >= limits.maxAttempts -> false
 
-        // Nothing was sent, so this attempt neither ran nor loaded an endpoint.
+        // Nothing was sent: the request did not run and put no load on an endpoint, so no retry budget is needed.
         end is AttemptEnd.NotSent -> body.isReplayable
 
-        end is AttemptEnd.Unanswered -> request.idempotent && body.isReplayable && retries.tryRetry()
+        end is AttemptEnd.Unanswered -> request.idempotent && body.isReplayable && retries.tryAcquire()
 
         else -> false
     }
