--- a/audit/src/main/kotlin/dev/bronzeshore/audit/AuditReader.kt
+++ b/audit/src/main/kotlin/dev/bronzeshore/audit/AuditReader.kt
@@ -6,8 +6,8 @@
 import arrow.core.right
 import dev.bronzeshore.core.AUDIT_PREFIX
 import dev.bronzeshore.core.AuditEntry
-import dev.bronzeshore.core.Fault
 import dev.bronzeshore.core.ComponentLog
+import dev.bronzeshore.core.Fault
 import dev.bronzeshore.core.ResultCode
 import dev.bronzeshore.core.RowRange
 import dev.bronzeshore.core.TableApi
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/OperatorClient.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/OperatorClient.kt
@@ -9,6 +9,7 @@
 import dev.bronzeshore.core.AuditEntry
 import dev.bronzeshore.core.Configuration
 import dev.bronzeshore.core.Fault
+import dev.bronzeshore.core.JobExplanation
 import dev.bronzeshore.core.JobSubmission
 import dev.bronzeshore.core.JobView
 import dev.bronzeshore.core.MarkRequest
@@ -16,7 +17,6 @@
 import dev.bronzeshore.core.ProcessStatus
 import dev.bronzeshore.core.ResultCode
 import dev.bronzeshore.core.VmStatus
-import dev.bronzeshore.core.JobExplanation
 import dev.bronzeshore.core.WireJson
 import kotlinx.serialization.KSerializer
 import kotlinx.serialization.builtins.ListSerializer
@@ -61,7 +61,8 @@
     suspend fun cancel(jobId: String): Either<CtlFailure, JobView> =
         send("DELETE", "/v1/jobs/${encode(jobId)}", body = null, JobView.serializer())
 
-    suspend fun why(jobId: String): Either<CtlFailure, JobExplanation> = get("/v1/jobs/${encode(jobId)}/why", JobExplanation.serializer())
+    suspend fun why(jobId: String): Either<CtlFailure, JobExplanation> =
+        get("/v1/jobs/${encode(jobId)}/why", JobExplanation.serializer())
 
     private suspend fun <T> get(path: String, answer: KSerializer<T>): Either<CtlFailure, T> =
         send("GET", path, body = null, answer, changes = false)
--- a/intake/src/main/kotlin/dev/bronzeshore/intake/StoreJobOperations.kt
+++ b/intake/src/main/kotlin/dev/bronzeshore/intake/StoreJobOperations.kt
@@ -47,7 +47,8 @@
     private var waitingCounts: WaitingCounts? = null
     private var countsReadAtMs = 0L
 
-    suspend fun submit(job: AcceptedJob): SubmitAnswer = writers.getValue(Tables.intakePartitionOf(job.jobId)).submit(job)
+    suspend fun submit(job: AcceptedJob): SubmitAnswer =
+        writers.getValue(Tables.intakePartitionOf(job.jobId)).submit(job)
 
     suspend fun stateOf(jobId: String): StateAnswer {
         val progress = progressOf(jobId)
--- a/jobs/src/main/kotlin/dev/bronzeshore/jobs/DataCentreJobs.kt
+++ b/jobs/src/main/kotlin/dev/bronzeshore/jobs/DataCentreJobs.kt
@@ -5,11 +5,11 @@
 import arrow.core.flatMap
 import arrow.core.left
 import arrow.core.right
-import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 import dev.bronzeshore.core.Fault
 import dev.bronzeshore.core.JobRecord
 import dev.bronzeshore.core.JobState
 import dev.bronzeshore.core.JobSubmission
+import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 import dev.bronzeshore.core.ResultCode
 import dev.bronzeshore.core.isFinal
 import kotlinx.coroutines.delay
--- a/jobs/src/main/kotlin/dev/bronzeshore/jobs/JobJournal.kt
+++ b/jobs/src/main/kotlin/dev/bronzeshore/jobs/JobJournal.kt
@@ -5,10 +5,10 @@
 import arrow.core.left
 import arrow.core.right
 import dev.bronzeshore.core.ClockMs
+import dev.bronzeshore.core.ComponentLog
 import dev.bronzeshore.core.Condition
 import dev.bronzeshore.core.Fault
 import dev.bronzeshore.core.Outcome
-import dev.bronzeshore.core.ComponentLog
 import dev.bronzeshore.core.ResultCode
 import dev.bronzeshore.core.TableApi
 import dev.bronzeshore.core.WriteResult
--- a/jobs/src/main/kotlin/dev/bronzeshore/jobs/JobRecovery.kt
+++ b/jobs/src/main/kotlin/dev/bronzeshore/jobs/JobRecovery.kt
@@ -3,9 +3,9 @@
 
 import arrow.core.Either
 import arrow.core.right
-import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 import dev.bronzeshore.core.Fault
 import dev.bronzeshore.core.JobRecord
+import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 import dev.bronzeshore.core.Policy
 import dev.bronzeshore.core.RowRange
 import dev.bronzeshore.core.TASK_LEASE_MS
--- a/jobs/src/main/kotlin/dev/bronzeshore/jobs/TaskDispatcher.kt
+++ b/jobs/src/main/kotlin/dev/bronzeshore/jobs/TaskDispatcher.kt
@@ -1,9 +1,9 @@
 /** Sends the placer's decisions to workers and takes their reports. */
 package dev.bronzeshore.jobs
 
-import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 import dev.bronzeshore.core.Decisions
 import dev.bronzeshore.core.Fault
+import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 import dev.bronzeshore.core.Outcome
 import dev.bronzeshore.core.Placement
 import dev.bronzeshore.core.Preemption
@@ -155,7 +155,9 @@
     /** A start that its worker can no longer accept and does not list has not happened. */
     private fun giveUpUnlisted(session: WorkerSession, report: WorkerReport) {
         val listed = report.tasks.mapTo(HashSet()) { it.task }
-        session.parts().filter { report.observedAtMs > it.part.startBeforeMs + MAX_CLOCK_SKEW_MS }.forEach { (job, part) ->
+        session.parts().filter {
+            report.observedAtMs > it.part.startBeforeMs + MAX_CLOCK_SKEW_MS
+        }.forEach { (job, part) ->
             val task = job.taskId(part)
             when {
                 task in listed -> Unit
--- a/jobs/src/test/kotlin/dev/bronzeshore/jobs/DataCentreJobsTest.kt
+++ b/jobs/src/test/kotlin/dev/bronzeshore/jobs/DataCentreJobsTest.kt
@@ -1,8 +1,8 @@
 package dev.bronzeshore.jobs
 
-import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 import dev.bronzeshore.core.JobState
 import dev.bronzeshore.core.JobSubmission
+import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 import dev.bronzeshore.core.Policy
 import dev.bronzeshore.core.Resources
 import dev.bronzeshore.core.ResultCode
--- a/jobs/src/test/kotlin/dev/bronzeshore/jobs/JobJournalTest.kt
+++ b/jobs/src/test/kotlin/dev/bronzeshore/jobs/JobJournalTest.kt
@@ -1,9 +1,9 @@
 package dev.bronzeshore.jobs
 
+import dev.bronzeshore.core.ComponentLog
 import dev.bronzeshore.core.Condition
 import dev.bronzeshore.core.JobRecord
 import dev.bronzeshore.core.JobSubmission
-import dev.bronzeshore.core.ComponentLog
 import dev.bronzeshore.core.Resources
 import dev.bronzeshore.core.ResultCode
 import dev.bronzeshore.core.Row
--- a/peering/src/main/kotlin/dev/bronzeshore/peering/PeerServer.kt
+++ b/peering/src/main/kotlin/dev/bronzeshore/peering/PeerServer.kt
@@ -2,8 +2,8 @@
 package dev.bronzeshore.peering
 
 import dev.bronzeshore.core.ClockMs
-import dev.bronzeshore.core.Fault
 import dev.bronzeshore.core.ComponentLog
+import dev.bronzeshore.core.Fault
 import dev.bronzeshore.core.ResultCode
 import io.ktor.network.selector.SelectorManager
 import io.ktor.network.sockets.InetSocketAddress
--- a/plans/src/main/kotlin/dev/bronzeshore/plans/ConfigurationHolder.kt
+++ b/plans/src/main/kotlin/dev/bronzeshore/plans/ConfigurationHolder.kt
@@ -1,8 +1,8 @@
 /** The configuration that is in force in this process. */
 package dev.bronzeshore.plans
 
-import dev.bronzeshore.core.Configuration
 import dev.bronzeshore.core.ComponentLog
+import dev.bronzeshore.core.Configuration
 
 /** Called on the control thread after a configuration was taken. */
 public typealias ConfigurationListener = (configuration: Configuration) -> Unit
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/AdviceDispatcher.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/AdviceDispatcher.kt
@@ -64,7 +64,11 @@
     private fun workersToAsk(step: TrackedStep, now: Long): List<WorkerIncarnation> {
         val advice = step.advice
         return eligibleWorkers(step)
-            .filter { !advice.isAsked(it.incarnation) || advice.mayRunOn(it.incarnation) && advice.ticketFor(it.incarnation, now) == null }
+            .filter {
+                !advice.isAsked(it.incarnation) ||
+                    advice.mayRunOn(it.incarnation) &&
+                    advice.ticketFor(it.incarnation, now) == null
+            }
             .sortedByDescending { it.free.processorsMillicores }
             .take(MAX_WORKERS_IN_CALL)
             .map { it.incarnation }
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/Planner.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/Planner.kt
@@ -183,7 +183,10 @@
             assignments.forEach { (_, worker) -> freeCapacity.reserve(worker, step.taskDemand) }
             val needsTicket = step.job.terms.advice != null
             val ready =
-                assignments.filter { (_, worker) -> !needsTicket || step.advice.ticketFor(worker.incarnation, now) != null }
+                assignments.filter { (_, worker) ->
+                    !needsTicket ||
+                        step.advice.ticketFor(worker.incarnation, now) != null
+                }
             val isStarting = ready.size == assignments.size || !step.description.isGang
             if (ready.size < assignments.size) adviceNeeded += step
             if (!isStarting) return
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/ProgressJournal.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/ProgressJournal.kt
@@ -161,4 +161,5 @@
     }
 }
 
-internal fun TrackedWorker.toRoster() = RosterWorker(id, incarnation.startedAtMs, entry.address, entry.service, heldJobs)
+internal fun TrackedWorker.toRoster() =
+    RosterWorker(id, incarnation.startedAtMs, entry.address, entry.service, heldJobs)
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/StepAdvice.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/StepAdvice.kt
@@ -26,7 +26,10 @@
 
     fun mayRunOn(incarnation: WorkerIncarnation): Boolean = incarnation in tickets
 
-    fun ticketFor(incarnation: WorkerIncarnation, nowMs: Long): String? = tickets[incarnation]?.takeIf { it.validUntilMs > nowMs }?.ticket
+    fun ticketFor(incarnation: WorkerIncarnation, nowMs: Long): String? = tickets[incarnation]?.takeIf {
+        it.validUntilMs >
+            nowMs
+    }?.ticket
 
     /** Records an answer, which leaves out the workers that may not run the step. */
     fun record(askedWorkers: List<WorkerIncarnation>, answer: List<AdviceTicket>, validUntilMs: Long) {
--- a/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/WorkerSession.kt
+++ b/scheduler/src/main/kotlin/dev/bronzeshore/scheduler/WorkerSession.kt
@@ -84,7 +84,10 @@
 
     private suspend fun handleReport(report: HoldAnswer.Report, requestedAtMs: Long) {
         val startedAtMs = report.startedAtMs
-        if (startedAtMs != null && worker.incarnation.startedAtMs != 0L && startedAtMs != worker.incarnation.startedAtMs) {
+        if (startedAtMs != null &&
+            worker.incarnation.startedAtMs != 0L &&
+            startedAtMs != worker.incarnation.startedAtMs
+        ) {
             if (startedAtMs > worker.incarnation.startedAtMs) onRestart(worker, startedAtMs)
             return delay(RETRY_MS)
         }
--- a/server/src/main/kotlin/dev/bronzeshore/server/BronzeshoreProcess.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/BronzeshoreProcess.kt
@@ -5,15 +5,15 @@
 import dev.bronzeshore.audit.AuditReader
 import dev.bronzeshore.audit.AuditRetention
 import dev.bronzeshore.core.ClockMs
+import dev.bronzeshore.core.ComponentLog
 import dev.bronzeshore.core.Configuration
 import dev.bronzeshore.core.OwnedDataCentre
-import dev.bronzeshore.core.ComponentLog
 import dev.bronzeshore.core.ProcessStatus
 import dev.bronzeshore.core.WorkKind
 import dev.bronzeshore.jobs.JobListeners
-import dev.bronzeshore.ownership.OwnershipHandover
 import dev.bronzeshore.ownership.Member
 import dev.bronzeshore.ownership.MemberDirectory
+import dev.bronzeshore.ownership.OwnershipHandover
 import dev.bronzeshore.ownership.PROCESS_ROW_PERIOD_MS
 import dev.bronzeshore.peering.PeerClient
 import dev.bronzeshore.peering.PeerServer
--- a/server/src/main/kotlin/dev/bronzeshore/server/RequestRoutes.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/RequestRoutes.kt
@@ -8,9 +8,9 @@
 import dev.bronzeshore.core.Fault
 import dev.bronzeshore.core.Plan
 import dev.bronzeshore.core.ResultCode
-import dev.bronzeshore.requests.ResponseHead
 import dev.bronzeshore.requests.HeaderLine
 import dev.bronzeshore.requests.IncomingRequest
+import dev.bronzeshore.requests.ResponseHead
 import dev.bronzeshore.requests.RouteReport
 import io.ktor.http.ContentType
 import io.ktor.http.Headers
@@ -139,8 +139,10 @@
         ).left()
 }
 
-private class StreamedAnswer(private val head: ResponseHead, private val writeBody: suspend (ByteWriteChannel) -> Unit) :
-    OutgoingContent.WriteChannelContent() {
+private class StreamedAnswer(
+    private val head: ResponseHead,
+    private val writeBody: suspend (ByteWriteChannel) -> Unit,
+) : OutgoingContent.WriteChannelContent() {
     override val status: HttpStatusCode = HttpStatusCode.fromValue(head.status)
     override val contentLength: Long? = head.contentLength
     override val contentType: ContentType? = null
--- a/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterProcess.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/cluster/ClusterProcess.kt
@@ -13,8 +13,8 @@
 import dev.bronzeshore.core.cluster.SubmitAnswer
 import dev.bronzeshore.intake.createStoreJobOperations
 import dev.bronzeshore.leadership.LeaderElection
-import dev.bronzeshore.leadership.LeadershipCallbacks
 import dev.bronzeshore.leadership.LeaderTerm
+import dev.bronzeshore.leadership.LeadershipCallbacks
 import dev.bronzeshore.leadership.candidateDelayMs
 import dev.bronzeshore.leadership.leaderCapacity
 import dev.bronzeshore.peering.PeerClient
