--- a/server/src/main/kotlin/dev/bronzeshore/server/BronzeshoreProcess.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/BronzeshoreProcess.kt
@@ -5,9 +5,9 @@
 import dev.bronzeshore.audit.AuditReader
 import dev.bronzeshore.audit.AuditRetention
 import dev.bronzeshore.core.ClockMs
+import dev.bronzeshore.core.ComponentLog
 import dev.bronzeshore.core.Configuration
 import dev.bronzeshore.core.OwnedDataCentre
-import dev.bronzeshore.core.ComponentLog
 import dev.bronzeshore.core.ProcessStatus
 import dev.bronzeshore.core.WorkKind
 import dev.bronzeshore.jobs.JobListeners
--- a/server/src/main/kotlin/dev/bronzeshore/server/DataCentreSupervisor.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/DataCentreSupervisor.kt
@@ -6,10 +6,10 @@
 import arrow.core.left
 import arrow.core.right
 import dev.bronzeshore.core.Allowance
-import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 import dev.bronzeshore.core.ClockMs
-import dev.bronzeshore.core.Fault
 import dev.bronzeshore.core.ComponentLog
+import dev.bronzeshore.core.Fault
+import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 import dev.bronzeshore.core.ResultCode
 import dev.bronzeshore.core.TableApi
 import dev.bronzeshore.core.Vm
@@ -82,7 +82,13 @@
     /** Slots are granted only once every grant of the previous owner has run out. */
     val ledger: Either<Fault, AllotmentLedger>
         get() = current().flatMap { tenure ->
-            if (context.clock() > tenure.previousOverAtMs + MAX_CLOCK_SKEW_MS) tenure.ledger.right() else notOwner().left()
+            if (context.clock() >
+                tenure.previousOverAtMs + MAX_CLOCK_SKEW_MS
+            ) {
+                tenure.ledger.right()
+            } else {
+                notOwner().left()
+            }
         }
 
     private fun current(): Either<Fault, Tenure> = tenure?.takeIf { ownership.mayAct() }?.right() ?: notOwner().left()
--- a/server/src/main/kotlin/dev/bronzeshore/server/Fleet.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/Fleet.kt
@@ -2,8 +2,8 @@
 package dev.bronzeshore.server
 
 import dev.bronzeshore.core.ClockMs
-import dev.bronzeshore.core.MarkedVm
 import dev.bronzeshore.core.ComponentLog
+import dev.bronzeshore.core.MarkedVm
 import dev.bronzeshore.core.Vm
 import dev.bronzeshore.core.VmMark
 import dev.bronzeshore.core.VmRole
--- a/server/src/main/kotlin/dev/bronzeshore/server/OperatorRoutes.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/OperatorRoutes.kt
@@ -11,12 +11,12 @@
 import dev.bronzeshore.core.AuditEntry
 import dev.bronzeshore.core.Configuration
 import dev.bronzeshore.core.Fault
+import dev.bronzeshore.core.JobExplanation
 import dev.bronzeshore.core.JobView
 import dev.bronzeshore.core.MarkRequest
 import dev.bronzeshore.core.ProcessStatus
 import dev.bronzeshore.core.ResultCode
 import dev.bronzeshore.core.VmStatus
-import dev.bronzeshore.core.JobExplanation
 import dev.bronzeshore.core.isFinal
 import dev.bronzeshore.plans.DocumentReader
 import io.ktor.http.HttpStatusCode
