--- a/server/src/main/kotlin/dev/bronzeshore/server/AllotmentLoop.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/AllotmentRefresher.kt
@@ -1,4 +1,4 @@
-/** Keeps this process supplied with endpoint slots from the owners of all data centres. */
+/** Requests endpoint slots for this process from the owners of all data centres. */
 package dev.bronzeshore.server
 
 import dev.bronzeshore.core.ComponentLog
@@ -7,7 +7,7 @@
 
 private const val ALLOTMENT_TIMEOUT_MS = 800L
 
-internal class AllotmentLoop(
+internal class AllotmentRefresher(
     private val gateway: PeerGateway,
     private val local: OwnerService,
     private val router: RequestRouter,
@@ -16,14 +16,14 @@
 ) {
     private val log = ComponentLog("requests")
 
-    /** Asks one owner; without an answer the slots held so far run out at their deadline. */
+    /** Requests slots from one owner; without a response the slots held so far expire at their deadline. */
     suspend fun refresh(dataCentre: String) {
         val request = router.allotmentRequest(dataCentre, processId)
         gateway.callOwner(dataCentre, PeerCalls.allotments, request, ALLOTMENT_TIMEOUT_MS) { local.allot(it) }
             .fold({ log.debug { "No slots from $dataCentre: ${it.message}" } }, { confirm(dataCentre, it) })
     }
 
-    /** A smaller grant is confirmed at once, so that the owner can give the slots to another process. */
+    /** Confirms a smaller grant at once, so that the owner can grant the slots to another process. */
     private suspend fun confirm(dataCentre: String, allotments: Allotments) {
         if (!router.apply(dataCentre, allotments)) return
         val request = router.allotmentRequest(dataCentre, processId)
@@ -31,6 +31,6 @@
             .onRight { router.apply(dataCentre, it) }
     }
 
-    /** Names of the data centres to ask. */
+    /** Names of the data centres whose owners are asked. */
     fun targets(): List<String> = dataCentres.all.map { it.dataCentre }
 }
--- a/server/src/main/kotlin/dev/bronzeshore/server/BronzeshoreProcess.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/BronzeshoreProcess.kt
@@ -1,4 +1,4 @@
-/** One running process: builds all parts, connects them and drives their periodic work. */
+/** One running process: creates and connects all components and runs their periodic tasks. */
 package dev.bronzeshore.server
 
 import dev.bronzeshore.audit.AuditPruner
@@ -38,20 +38,20 @@
 import java.util.UUID
 import kotlin.random.Random
 
-private const val CONFIGURATION_EVERY_MS = 1_000L
-private const val MEMBERS_EVERY_MS = 1_000L
+private const val CONFIGURATION_PERIOD_MS = 1_000L
+private const val MEMBERS_PERIOD_MS = 1_000L
 
-/** The list is the largest regular message; leaving VMs must get no new work after 3 s. */
-private const val VMS_EVERY_MS = 2_000L
-private const val ALLOTMENTS_EVERY_MS = 1_000L
-private const val ADMISSION_TICK_MS = 100L
-private const val PRUNE_EVERY_MS = 3_600_000L
+/** The VM list is the largest periodic message; a leaving VM must get no new work after 3 s. */
+private const val VMS_PERIOD_MS = 2_000L
+private const val ALLOTMENTS_PERIOD_MS = 1_000L
+private const val ADMISSION_PERIOD_MS = 100L
+private const val AUDIT_PRUNE_PERIOD_MS = 3_600_000L
 private const val PEER_TIMEOUT_MS = 800L
 private const val MS_PER_DAY = 86_400_000L
 
 /**
- * [control] is a single thread that holds all control state; [onFatal] is called when an invariant fails, since a
- * process with broken state must not go on handing out work.
+ * [control] is a single thread that owns all control state. [onFatal] is called when an invariant fails, because a
+ * process with inconsistent state must not assign any more work.
  */
 internal class BronzeshoreProcess(
     private val settings: Settings,
@@ -62,12 +62,12 @@
     private val log = ComponentLog("server")
     private val fatalHandler = CoroutineExceptionHandler { _, failure -> onFatal(failure) }
     private val controlScope = CoroutineScope(control + SupervisorJob() + fatalHandler)
-    private val trafficScope = CoroutineScope(Dispatchers.IO + SupervisorJob())
+    private val ioScope = CoroutineScope(Dispatchers.IO + SupervisorJob())
     private val selector = SelectorManager(Dispatchers.IO)
     private val platformClient = createPlatformHttpClient()
     private val table = createTableApi(platformClient, settings.platform.tableUrl)
     private val self = Member(
-        // Unique per start: a restarted process does not remember the promises that it made.
+        // Unique per start: a restarted process does not remember the promises that it made before.
         processId = "${settings.processId}-${UUID.randomUUID().toString().take(START_ID_CHARACTERS)}",
         dataCentre = settings.dataCentre,
         region = settings.region,
@@ -75,25 +75,26 @@
     )
     private val directory = MemberDirectory(self, clock, table)
     private val configuration = ConfigurationHolder()
-    private val tokens = TokenTable()
+    private val tokens = CallerTokens()
     val readiness = Readiness()
     private val metrics = ProcessMetrics()
-    private val peerClient = PeerClient(selector, clock, trafficScope)
+    private val peerClient = PeerClient(selector, clock, ioScope)
     private val gateway: PeerGateway = PeerGateway(self, clock, peerClient, { directory.members }, ::ownerIdOf)
     private var attempts = 0L
-    private val fleet: Fleet = Fleet(clock, createVmListApi(platformClient, settings.platform.vmListUrl))
+    private val vmInventory: VmInventory =
+        VmInventory(clock, createVmListApi(platformClient, settings.platform.vmListUrl))
     private val dataCentres: DataCentres = DataCentres(supervisorContext())
     private val ownerService: OwnerService = OwnerService(dataCentres)
     private val jobRouter: JobRouter = JobRouter(gateway, ownerService, table) { configuration.current }
     private val proxy = RequestProxy(Dispatchers.Default, clock)
     private val requestRouter: RequestRouter =
         RequestRouter(control, clock, proxy, Random.Default, askForSlots = { askForSlots() })
-    private val allotmentLoop: AllotmentLoop =
-        AllotmentLoop(gateway, ownerService, requestRouter, dataCentres, self.processId)
-    private val refresher = ConfigurationRefresher(table, configuration)
-    private val writer: ConfigurationWriter =
+    private val allotmentRefresher: AllotmentRefresher =
+        AllotmentRefresher(gateway, ownerService, requestRouter, dataCentres, self.processId)
+    private val configurationRefresher = ConfigurationRefresher(table, configuration)
+    private val configurationWriter: ConfigurationWriter =
         ConfigurationWriter(table, clock, ::newWriteId, onAccepted = { publishConfiguration(it) })
-    private val httpPorts: HttpPorts = HttpPorts(settings, callerContext(), operatorContext())
+    private val httpServers: HttpServers = HttpServers(settings, callerContext(), operatorContext())
 
     private fun ownerIdOf(dataCentre: String): String? = dataCentres.ownerIdOf(dataCentre)
 
@@ -104,17 +105,17 @@
         workerApi = createWorkerApi(platformClient),
         controlScope = controlScope,
         members = { directory.members },
-        isGone = { fleet.isGone(it) },
+        isGone = { vmInventory.isGone(it) },
         callDeputy = { member, request -> gateway.call(member, PeerCalls.promise, request, PEER_TIMEOUT_MS) },
         kindOf = ::kindOf,
         listeners = JobListeners(
             onPartFailed = { workerId, jobId ->
-                fleet.partFailed(workerId, jobId)
+                vmInventory.partFailed(workerId, jobId)
                 metrics.countPartFailure(workerId)
             },
-            onPartSucceeded = { workerId, jobId -> fleet.partSucceeded(workerId, jobId) },
+            onPartSucceeded = { workerId, jobId -> vmInventory.partSucceeded(workerId, jobId) },
             onPartStarted = { workerId, jobId, kind, waitMs ->
-                fleet.partStarted(workerId, jobId)
+                vmInventory.partStarted(workerId, jobId)
                 metrics.observeWait(kind, waitMs)
             },
             onPreemption = { _, _, _ -> metrics.countPreemption() },
@@ -130,10 +131,10 @@
         control = control,
         tokenSha256 = settings.operatorTokenSha256,
         configuration = { configuration.current },
-        writer = writer,
+        writer = configurationWriter,
         audit = AuditReader(table),
         jobs = jobRouter,
-        vms = { fleet.status() },
+        vms = { vmInventory.status() },
         status = ::status,
         metrics = metrics,
     )
@@ -141,61 +142,61 @@
     private fun kindOf(plan: String, kind: String): WorkKind? =
         configuration.current.plans.find { it.name == plan }?.kinds?.find { it.name == kind }
 
-    /** Listens on all ports and starts the periodic work. */
+    /** Listens on all ports and starts the periodic tasks. */
     suspend fun start() {
         withContext(control) { configuration.listen(::onConfiguration) }
         PeerServer(
             selector,
             clock,
             peerHandlers(control, ownerService, configuration),
-        ).start(settings.peers.host, settings.peers.port, trafficScope)
-        httpPorts.start()
+        ).start(settings.peers.host, settings.peers.port, ioScope)
+        httpServers.start()
         startLoops()
         log.info { "Process ${self.processId} listens for callers on port ${settings.callers.port}." }
     }
 
     private fun startLoops() {
         controlScope.repeatEvery(PROCESS_ROW_EVERY_MS) { if (!readiness.isStopping) directory.announce() }
-        controlScope.repeatEvery(MEMBERS_EVERY_MS) { directory.refresh() }
-        controlScope.repeatEvery(CONFIGURATION_EVERY_MS) { refreshConfiguration() }
-        controlScope.repeatEvery(VMS_EVERY_MS) { refreshFleet() }
-        controlScope.repeatEvery(ALLOTMENTS_EVERY_MS) { askForSlots() }
-        controlScope.repeatEvery(ADMISSION_TICK_MS) { requestRouter.tick() }
+        controlScope.repeatEvery(MEMBERS_PERIOD_MS) { directory.refresh() }
+        controlScope.repeatEvery(CONFIGURATION_PERIOD_MS) { refreshConfiguration() }
+        controlScope.repeatEvery(VMS_PERIOD_MS) { refreshVms() }
+        controlScope.repeatEvery(ALLOTMENTS_PERIOD_MS) { askForSlots() }
+        controlScope.repeatEvery(ADMISSION_PERIOD_MS) { requestRouter.tick() }
         val retention = AuditRetention(settings.auditRetentionDays * MS_PER_DAY)
-        controlScope.repeatEvery(PRUNE_EVERY_MS) { AuditPruner(table, clock, retention, ::newWriteId).prune() }
+        controlScope.repeatEvery(AUDIT_PRUNE_PERIOD_MS) { AuditPruner(table, clock, retention, ::newWriteId).prune() }
     }
 
-    /** Takes the configuration from the table service, or from a peer while the table is down. */
+    /** Reads the configuration from the table service; asks peers if that fails and no configuration is known yet. */
     private suspend fun refreshConfiguration() {
-        val fromTable = refresher.refresh()
+        val fromTable = configurationRefresher.refresh()
         if (fromTable.isRight() || configuration.isKnown) return
         gateway.peers.firstNotNullOfOrNull { peer ->
             gateway.call(peer, PeerCalls.configurationPull, Acknowledged(), PEER_TIMEOUT_MS).getOrNull()
         }?.let(configuration::offer)
     }
 
-    private fun askForSlots(): Unit = allotmentLoop.targets().forEach { dataCentre ->
-        controlScope.launch { allotmentLoop.refresh(dataCentre) }
+    private fun askForSlots(): Unit = allotmentRefresher.targets().forEach { dataCentre ->
+        controlScope.launch { allotmentRefresher.refresh(dataCentre) }
     }
 
-    private suspend fun refreshFleet() {
-        fleet.refresh()
-        requestRouter.retainEndpoints(fleet.endpointIds())
+    private suspend fun refreshVms() {
+        vmInventory.refresh()
+        requestRouter.retainEndpoints(vmInventory.endpointIds())
         metrics.snapshot = snapshot()
-        applyFleet()
+        applyVms()
     }
 
-    private suspend fun applyFleet() {
-        dataCentres.update(viewsByDataCentre(fleet.vms(), configuration.current, fleet::isQuarantined))
-        requestRouter.setLeaving(fleet.leavingEndpoints())
+    private suspend fun applyVms() {
+        dataCentres.update(viewsByDataCentre(vmInventory.vms(), configuration.current, vmInventory::isQuarantined))
+        requestRouter.setLeaving(vmInventory.leavingEndpoints())
     }
 
     private fun onConfiguration(current: Configuration) {
         tokens.replace(current)
-        fleet.setMarks(current.marks)
+        vmInventory.setMarks(current.marks)
         controlScope.launch {
             requestRouter.configure(current.plans)
-            applyFleet()
+            applyVms()
             readiness.isConfigured = true
         }
     }
@@ -210,7 +211,7 @@
     private fun snapshot() = ProcessSnapshot(
         ownedDataCentres = dataCentres.all.count { it.ownership.mayAct() },
         openJobs = dataCentres.all.sumOf { supervisor -> supervisor.jobs.fold({ 0 }, { it.openCount }) },
-        quarantinedWorkers = fleet.quarantinedCount(),
+        quarantinedWorkers = vmInventory.quarantinedCount(),
         configurationVersion = configuration.current.version,
         requestsInFlight = requestRouter.inFlight,
     )
@@ -225,7 +226,7 @@
         ready = readiness.isReady,
     )
 
-    /** Stops without interrupting anything: no new work, ownership handed over, requests in flight finished. */
+    /** Stops gracefully: accepts no new work, hands ownership over and waits for requests in flight. */
     suspend fun stop(deadlineMs: Long) {
         readiness.isStopping = true
         log.info { "Stopping; waiting for requests in flight." }
@@ -235,12 +236,12 @@
                 supervisor.ownership.handOver()?.let { notifyNextOwner(it) }
             }
         }
-        httpPorts.awaitBalancer()
+        httpServers.awaitLoadBalancer()
         requestRouter.stopAccepting()
         requestRouter.awaitInFlight(deadlineMs)
-        httpPorts.stop()
+        httpServers.stop()
         controlScope.cancel()
-        trafficScope.cancel()
+        ioScope.cancel()
         proxy.close()
         platformClient.close()
         log.info { "Stopped." }
--- a/server/src/main/kotlin/dev/bronzeshore/server/CallerContext.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/CallerContext.kt
@@ -1,4 +1,4 @@
-/** What the callers' routes need from the process. */
+/** Dependencies of the routes for callers. */
 package dev.bronzeshore.server
 
 import arrow.core.Either
@@ -16,8 +16,8 @@
 import kotlinx.coroutines.CoroutineDispatcher
 import kotlinx.coroutines.withContext
 
-/** Tokens of the configuration that is in force; replaced as a whole, so readers on other threads need no lock. */
-internal class TokenTable {
+/** Tokens of the configuration in force; replaced as a whole, so that readers on other threads need no lock. */
+internal class CallerTokens {
     @Volatile
     private var authenticator: Authenticator? = null
 
@@ -34,7 +34,7 @@
 internal class CallerContext(
     val clock: ClockMs,
     private val control: CoroutineDispatcher,
-    private val tokens: TokenTable,
+    private val tokens: CallerTokens,
     val jobs: JobRouter,
     val requests: RequestRouter,
     val metrics: ProcessMetrics,
@@ -42,10 +42,10 @@
 ) {
     suspend fun <T> onControl(block: suspend () -> T): T = withContext(control) { block() }
 
-    /** The plan of the caller's token; refused while this process is stopping. */
+    /** The plan of the caller's token; refused until this process has a configuration. */
     fun planOf(call: ApplicationCall): Either<Fault, Plan> = readiness.check().flatMap {
         call.bearerToken().flatMap(tokens::planOf)
     }
 
-    fun count(answer: Either<Fault, Any>) = metrics.countAnswer(answer.fold({ it.code }, { ResultCode.OK }))
+    fun countResponse(result: Either<Fault, Any>) = metrics.countResponse(result.fold({ it.code }, { ResultCode.OK }))
 }
--- a/server/src/main/kotlin/dev/bronzeshore/server/DataCentreSupervisor.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/DataCentreSupervisor.kt
@@ -1,4 +1,4 @@
-/** Everything that a process keeps for one data centre: its ownership and, while it owns it, jobs and slots. */
+/** State of one data centre in a process: its ownership and, while the process owns it, jobs and endpoint slots. */
 package dev.bronzeshore.server
 
 import arrow.core.Either
@@ -36,7 +36,7 @@
 import kotlinx.coroutines.job
 import kotlinx.coroutines.launch
 
-/** What all supervisors of a process share. */
+/** Dependencies that all supervisors of a process share. */
 internal class SupervisorContext(
     val self: Member,
     val clock: ClockMs,
@@ -51,7 +51,7 @@
     val nextAttempt: () -> Long,
 )
 
-/** The current view of one data centre. */
+/** VMs and allowances of one data centre. */
 internal data class DataCentreView(
     val workers: List<WorkerCandidate> = emptyList(),
     val endpoints: List<Vm> = emptyList(),
@@ -63,7 +63,7 @@
 internal class DataCentreSupervisor(val dataCentre: String, private val context: SupervisorContext) {
     private val log = ComponentLog("ownership")
     private var view = DataCentreView()
-    private var tenure: Tenure? = null
+    private var currentTerm: OwnershipTerm? = null
 
     val ownership = DataCentreOwnership(
         dataCentre = dataCentre,
@@ -76,22 +76,17 @@
         onGained = ::onGained,
     )
 
-    /** Jobs of this data centre, or the fault that names why they are not handled here. */
+    /** Jobs of this data centre, or a fault if this process does not own it. */
     val jobs: Either<Fault, DataCentreJobs> get() = current().map { it.jobs }
 
-    /** Slots are granted only once every grant of the previous owner has run out. */
+    /** Available once every slot grant of the previous owner has expired, so that no slot is granted twice. */
     val ledger: Either<Fault, AllotmentLedger>
-        get() = current().flatMap { tenure ->
-            if (context.clock() >
-                tenure.previousOverAtMs + MAX_CLOCK_SKEW_MS
-            ) {
-                tenure.ledger.right()
-            } else {
-                notOwner().left()
-            }
+        get() = current().flatMap { owned ->
+            if (context.clock() > owned.previousUntilMs + MAX_CLOCK_SKEW_MS) owned.ledger.right() else notOwner().left()
         }
 
-    private fun current(): Either<Fault, Tenure> = tenure?.takeIf { ownership.mayAct() }?.right() ?: notOwner().left()
+    private fun current(): Either<Fault, OwnershipTerm> =
+        currentTerm?.takeIf { ownership.mayAct() }?.right() ?: notOwner().left()
 
     private fun notOwner() = Fault(ResultCode.NOT_OWNER, "This process does not own data centre $dataCentre.")
 
@@ -104,22 +99,22 @@
 
     fun update(newView: DataCentreView) {
         view = newView
-        tenure?.let(::applyView)
+        currentTerm?.let(::applyView)
     }
 
     private fun onGained(gained: Gained) {
-        // A term that is regained after a short loss goes on with the state it had; each effect checks the deadline.
-        if (tenure?.term == gained.term) return
-        tenure?.scope?.cancel()
-        tenure = startTenure(gained)
+        // A term that is regained after a short loss continues with its state: each effect checks the deadline anyway.
+        if (currentTerm?.term == gained.term) return
+        currentTerm?.scope?.cancel()
+        currentTerm = startTerm(gained)
     }
 
-    private fun startTenure(gained: Gained): Tenure {
+    private fun startTerm(gained: Gained): OwnershipTerm {
         val scope = CoroutineScope(
             context.controlScope.coroutineContext + SupervisorJob(context.controlScope.coroutineContext.job),
         )
-        var handled: DataCentreJobs? = null
-        val placer = PlacementEngine(context.clock, mayStop = { jobId -> handled?.isIdempotent(jobId) == true })
+        var startedJobs: DataCentreJobs? = null
+        val placer = PlacementEngine(context.clock, mayStop = { jobId -> startedJobs?.isIdempotent(jobId) == true })
         val jobs = DataCentreJobs(
             JobsContext(
                 authority = OwnerAuthority(
@@ -138,30 +133,30 @@
                 listeners = context.listeners,
             ),
         )
-        handled = jobs
+        startedJobs = jobs
         val ledger = AllotmentLedger(dataCentre, context.clock) { ownership.actUntilMs }
-        val started = Tenure(gained.term, gained.previousEffectsUntilMs, scope, placer, jobs, ledger)
+        val started = OwnershipTerm(gained.term, gained.previousEffectsUntilMs, scope, placer, jobs, ledger)
         applyView(started)
         scope.launch { jobs.run() }
         log.info { "Started handling $dataCentre in term ${gained.term}." }
         return started
     }
 
-    private fun applyView(tenure: Tenure) {
-        tenure.placer.setAllowances(view.allowances)
-        tenure.jobs.updateWorkers(view.workers)
-        tenure.ledger.setAllowances(view.allowances)
-        tenure.ledger.setEndpoints(
+    private fun applyView(term: OwnershipTerm) {
+        term.placer.setAllowances(view.allowances)
+        term.jobs.updateWorkers(view.workers)
+        term.ledger.setAllowances(view.allowances)
+        term.ledger.setEndpoints(
             view.endpoints.map {
                 EndpointSlots(it.id, it.address, it.service.orEmpty(), it.slots, it.id in view.leavingEndpoints)
             },
         )
     }
 
-    /** One uninterrupted ownership of a term by this process. */
-    private class Tenure(
+    /** State of one term of ownership; calls of the previous owner may take effect until [previousUntilMs]. */
+    private class OwnershipTerm(
         val term: Long,
-        val previousOverAtMs: Long,
+        val previousUntilMs: Long,
         val scope: CoroutineScope,
         val placer: PlacementEngine,
         val jobs: DataCentreJobs,
@@ -169,7 +164,7 @@
     )
 
     private companion object {
-        /** Keeps a late clock from turning the loop into a busy one. */
+        /** Keeps the loop from spinning when the next tick is already overdue. */
         const val MIN_TICK_MS = 20L
     }
 }
--- a/server/src/main/kotlin/dev/bronzeshore/server/ClusterView.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/DataCentreViews.kt
@@ -1,4 +1,4 @@
-/** Turns the VM list, the marks and the configuration into one view for each data centre. */
+/** Groups VMs and allowances into one view for each data centre. */
 package dev.bronzeshore.server
 
 import dev.bronzeshore.core.Configuration
@@ -7,7 +7,7 @@
 import dev.bronzeshore.core.VmState
 import dev.bronzeshore.jobs.WorkerCandidate
 
-/** [vms] are already merged with the marks; [isQuarantined] holds workers back that fail what they start. */
+/** [vms] already include the operators' marks; workers for which [isQuarantined] holds get no new work. */
 internal fun viewsByDataCentre(
     vms: List<Vm>,
     configuration: Configuration,
--- a/server/src/main/kotlin/dev/bronzeshore/server/DataCentres.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/DataCentres.kt
@@ -1,4 +1,4 @@
-/** The supervisors of all data centres that are known. */
+/** Supervisors of all known data centres. */
 package dev.bronzeshore.server
 
 import arrow.core.Either
@@ -18,7 +18,7 @@
 
     fun ownerIdOf(dataCentre: String): String? = byName[dataCentre]?.ownership?.state?.ownerId
 
-    /** Takes the current views; a supervisor starts to compete for its data centre as soon as it has a view. */
+    /** Updates the views; the supervisor of a new data centre starts to compete for ownership at once. */
     fun update(views: Map<String, DataCentreView>) = views.forEach { (dataCentre, view) ->
         val known = byName[dataCentre]
         val supervisor = known ?: DataCentreSupervisor(dataCentre, context).also { byName[dataCentre] = it }
--- a/server/src/main/kotlin/dev/bronzeshore/server/HttpAnswers.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/HttpResponses.kt
@@ -1,4 +1,4 @@
-/** JSON bodies in and out of the HTTP ports. */
+/** Reading of JSON request bodies and writing of JSON responses. */
 package dev.bronzeshore.server
 
 import arrow.core.Either
@@ -26,7 +26,7 @@
 internal const val MAX_JSON_BODY_BYTES: Long = 1_048_576
 private const val MS_PER_SECOND = 1_000L
 
-/** A fault as callers see it: the name and the number of its code, and whether the work may have run. */
+/** JSON form of a fault: name and number of its code, and whether the work may have run. */
 @Serializable
 internal data class FaultBody(
     val code: ResultCode,
@@ -62,13 +62,13 @@
 ) = respondText(WireJson.encodeToString(serializer, value), ContentType.Application.Json, status)
 
 internal suspend fun <T> ApplicationCall.respondEither(
-    answer: Either<Fault, T>,
+    result: Either<Fault, T>,
     serializer: KSerializer<T>,
     nowMs: Long,
     status: HttpStatusCode = HttpStatusCode.OK,
-) = answer.fold({ respondFault(it, nowMs) }, { respondJson(serializer, it, status) })
+) = result.fold({ respondFault(it, nowMs) }, { respondJson(serializer, it, status) })
 
-/** Reads a body up to [MAX_JSON_BODY_BYTES] and checks it with [reader]; reports the first of its faults. */
+/** Reads a body of up to [MAX_JSON_BODY_BYTES] and validates it with [reader]; returns the first fault. */
 internal suspend fun <T> ApplicationCall.readBody(reader: DocumentReader<T>): Either<Fault, T> =
     readText().flatMap { text -> reader.read("body", text).mapLeft { it.head } }
 
--- a/server/src/main/kotlin/dev/bronzeshore/server/HttpPorts.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/HttpServers.kt
@@ -1,4 +1,4 @@
-/** The two HTTP ports of a process: callers and operators. */
+/** The two HTTP servers of a process: for callers and for operators. */
 package dev.bronzeshore.server
 
 import dev.bronzeshore.core.Fault
@@ -18,12 +18,12 @@
 import io.ktor.server.routing.routing
 import kotlinx.coroutines.delay
 
-/** Time in which the balancer sees that a process is not ready any more. */
-private const val BALANCER_NOTICE_MS = 2_000L
-private const val GRACE_MS = 500L
+/** Time within which the load balancer notices that a process is no longer ready. */
+private const val LOAD_BALANCER_DELAY_MS = 2_000L
+private const val STOP_GRACE_MS = 500L
 private const val IDLE_TIMEOUT_SECONDS = 60
 
-internal class HttpPorts(
+internal class HttpServers(
     settings: Settings,
     private val callers: CallerContext,
     private val operators: OperatorContext,
@@ -36,12 +36,12 @@
         operatorServer.startSuspend(wait = false)
     }
 
-    /** Keeps answering while the balancer learns that this process is not ready. */
-    suspend fun awaitBalancer() = delay(BALANCER_NOTICE_MS)
+    /** Keeps serving until the load balancer has noticed that this process is not ready. */
+    suspend fun awaitLoadBalancer() = delay(LOAD_BALANCER_DELAY_MS)
 
     suspend fun stop() {
-        callerServer.stopSuspend(gracePeriodMillis = GRACE_MS, timeoutMillis = BALANCER_NOTICE_MS)
-        operatorServer.stopSuspend(gracePeriodMillis = GRACE_MS, timeoutMillis = BALANCER_NOTICE_MS)
+        callerServer.stopSuspend(gracePeriodMillis = STOP_GRACE_MS, timeoutMillis = LOAD_BALANCER_DELAY_MS)
+        operatorServer.stopSuspend(gracePeriodMillis = STOP_GRACE_MS, timeoutMillis = LOAD_BALANCER_DELAY_MS)
     }
 
     private fun server(
--- a/server/src/main/kotlin/dev/bronzeshore/server/JobRouter.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/JobRouter.kt
@@ -1,4 +1,4 @@
-/** Finds the data centre for a job and the owner to ask about it. */
+/** Routes job submissions and queries to the owners of data centres. */
 package dev.bronzeshore.server
 
 import arrow.core.Either
@@ -26,15 +26,15 @@
     private val table: TableApi,
     private val configuration: () -> Configuration,
 ) {
-    /** Submits to the first data centre that accepts; all attempts name the same job, so at most one takes effect. */
+    /** Submits to the first data centre that accepts; all attempts use the same job id, so at most one takes effect. */
     suspend fun submit(plan: String, key: String, submission: JobSubmission): Either<Fault, JobRecord> {
         val candidates = candidatesFor(plan, JobRows.jobId(plan, key), submission)
         var last = Fault(ResultCode.OVER_ALLOWANCE, "Plan $plan has no allowance in a data centre that is asked for.")
         for (dataCentre in candidates) {
-            val forward = JobForward(dataCentre, plan, key, submission)
-            gateway.callOwner(dataCentre, PeerCalls.jobSubmit, forward, SUBMIT_TIMEOUT_MS, local::submit)
+            val forwarded = ForwardedSubmission(dataCentre, plan, key, submission)
+            gateway.callOwner(dataCentre, PeerCalls.jobSubmit, forwarded, SUBMIT_TIMEOUT_MS, local::submit)
                 .fold({ last = it }, { return it.right() })
-            if (!mayTryElsewhere(last)) return last.left()
+            if (!mayRetryElsewhere(last)) return last.left()
         }
         return last.left()
     }
@@ -48,10 +48,11 @@
         return allowed.drop(first) + allowed.take(first)
     }
 
-    private fun mayTryElsewhere(fault: Fault) =
-        fault.code.outcome == Outcome.NOT_RUN && fault.code in ELSEWHERE || fault.code == ResultCode.PEER_UNAVAILABLE
+    private fun mayRetryElsewhere(fault: Fault) = fault.code.outcome == Outcome.NOT_RUN &&
+        fault.code in RETRY_ELSEWHERE_CODES ||
+        fault.code == ResultCode.PEER_UNAVAILABLE
 
-    /** The job as its row and its owner know it; another plan's job is reported as unknown. */
+    /** State of a job from its row and its owner; a job of another plan is reported as unknown. */
     suspend fun view(jobId: String, plan: String?): Either<Fault, JobView> = locate(jobId, plan).flatMap { record ->
         if (record.state.isFinal) {
             JobView(record).right()
@@ -65,7 +66,7 @@
         return gateway.callOwner(dataCentre, PeerCalls.jobQuery, query, QUERY_TIMEOUT_MS) { local.status(it) }
     }
 
-    /** The job may have ended between the two reads; otherwise its data centre is being taken over. */
+    /** Reads the row again: either the job ended since the first read or its data centre is being taken over. */
     private suspend fun reread(jobId: String, record: JobRecord): JobView {
         val latest = table.read(JobRows.jobKey(jobId)).getOrNull()?.let { JobRows.parse(it) } ?: record
         return JobView(latest, if (latest.state.isFinal) null else "its data centre is being taken over")
@@ -77,7 +78,7 @@
         gateway.callOwner(record.dataCentre, PeerCalls.jobCancel, query, QUERY_TIMEOUT_MS) { local.cancel(it) }
     }
 
-    /** Open jobs of all data centres that answer. */
+    /** Open jobs of all data centres whose owners respond. */
     suspend fun list(plan: String?, limit: Int): List<JobView> =
         configuration().allowances.map { it.dataCentre }.distinct()
             .flatMap { dataCentre ->
@@ -86,7 +87,7 @@
                     .fold({ emptyList() }, { it.jobs })
             }.take(limit)
 
-    /** Reads the job's row; while the table service is down the owners know the jobs that have not ended. */
+    /** Reads the job's row, or asks the owners for open jobs while the table service is down. */
     private suspend fun locate(jobId: String, plan: String?): Either<Fault, JobRecord> {
         val found = table.read(JobRows.jobKey(jobId)).fold(
             { fault -> askAllOwners(jobId)?.right() ?: fault.left() },
@@ -103,7 +104,7 @@
             .firstNotNullOfOrNull { dataCentre -> askOwner(jobId, dataCentre).getOrNull()?.record }
 
     private companion object {
-        val ELSEWHERE = setOf(
+        val RETRY_ELSEWHERE_CODES = setOf(
             ResultCode.FITS_NOWHERE,
             ResultCode.OVER_ALLOWANCE,
             ResultCode.NOT_OWNER,
--- a/server/src/main/kotlin/dev/bronzeshore/server/JobRoutes.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/JobRoutes.kt
@@ -1,4 +1,4 @@
-/** Callers' interface to jobs. */
+/** HTTP routes with which callers submit, query and cancel jobs. */
 package dev.bronzeshore.server
 
 import arrow.core.Either
@@ -21,33 +21,33 @@
 import io.ktor.server.routing.post
 import kotlinx.serialization.builtins.ListSerializer
 
-private const val MAX_KEY_CHARACTERS = 200
+private const val MAX_IDEMPOTENCY_KEY_CHARACTERS = 200
 internal const val IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
 
 internal fun Route.jobRoutes(process: CallerContext) {
     post("/v1/jobs") {
-        val answer = either {
+        val result = either {
             val plan = process.planOf(call).bind()
             val key = call.idempotencyKey().bind()
             val submission = call.readBody(submissionReader).bind()
             process.onControl { process.jobs.submit(plan.name, key, submission) }.bind()
         }
-        process.count(answer)
-        call.respondEither(answer, JobRecord.serializer(), process.clock(), HttpStatusCode.Accepted)
+        process.countResponse(result)
+        call.respondEither(result, JobRecord.serializer(), process.clock(), HttpStatusCode.Accepted)
     }
     get("/v1/jobs/{id}") {
-        val answer = process.jobCall(call) { plan, id -> process.jobs.view(id, plan.name) }
-        call.respondEither(answer, JobView.serializer(), process.clock())
+        val result = process.jobCall(call) { plan, id -> process.jobs.view(id, plan.name) }
+        call.respondEither(result, JobView.serializer(), process.clock())
     }
     delete("/v1/jobs/{id}") {
-        val answer = process.jobCall(call) { plan, id -> process.jobs.cancel(id, plan.name) }
-        call.respondEither(answer, JobView.serializer(), process.clock())
+        val result = process.jobCall(call) { plan, id -> process.jobs.cancel(id, plan.name) }
+        call.respondEither(result, JobView.serializer(), process.clock())
     }
     get("/v1/jobs/{id}/result") {
-        val answer = process.jobCall(call) { plan, id ->
+        val result = process.jobCall(call) { plan, id ->
             process.jobs.view(id, plan.name)
         }.flatMap { resultOf(it.record) }
-        call.respondEither(answer, ListSerializer(PartResult.serializer()), process.clock())
+        call.respondEither(result, ListSerializer(PartResult.serializer()), process.clock())
     }
 }
 
@@ -60,8 +60,8 @@
 
 internal fun ApplicationCall.idempotencyKey(): Either<Fault, String> {
     val key = request.headers[IDEMPOTENCY_KEY_HEADER].orEmpty()
-    return if (key.isBlank() || key.length > MAX_KEY_CHARACTERS) {
-        val accepted = "1 to $MAX_KEY_CHARACTERS characters"
+    return if (key.isBlank() || key.length > MAX_IDEMPOTENCY_KEY_CHARACTERS) {
+        val accepted = "1 to $MAX_IDEMPOTENCY_KEY_CHARACTERS characters"
         Fault(
             ResultCode.MISSING_FIELD,
             "The idempotency key is missing or too long.",
--- a/server/src/main/kotlin/dev/bronzeshore/server/OperatorContext.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/OperatorContext.kt
@@ -1,4 +1,4 @@
-/** What the operators' routes need from the process. */
+/** Dependencies of the routes for operators. */
 package dev.bronzeshore.server
 
 import arrow.core.Either
@@ -19,7 +19,7 @@
 import java.security.MessageDigest
 import java.util.HexFormat
 
-/** Views are functions, because their values change while the process runs; they are called on the control thread. */
+/** State that changes while the process runs is passed as functions, which are called on the control thread. */
 internal class OperatorContext(
     val clock: ClockMs,
     private val control: CoroutineDispatcher,
--- a/server/src/main/kotlin/dev/bronzeshore/server/OperatorRoutes.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/OperatorRoutes.kt
@@ -1,4 +1,4 @@
-/** Operators' interface, on a port of its own. */
+/** HTTP routes for operators, served on a separate port. */
 package dev.bronzeshore.server
 
 import arrow.core.Either
@@ -39,10 +39,10 @@
     vmRoutes(process)
     operatorJobRoutes(process)
     get("/v1/status") {
-        process.answer(call, ProcessStatus.serializer()) { process.onControl { process.status() }.right() }
+        process.authorizeAndRespond(call, ProcessStatus.serializer()) { process.onControl { process.status() }.right() }
     }
     get("/v1/audit") {
-        process.answer(call, ListSerializer(AuditEntry.serializer())) {
+        process.authorizeAndRespond(call, ListSerializer(AuditEntry.serializer())) {
             call.limit().flatMap { limit -> process.audit.read(call.parameters["after"].orEmpty(), limit) }
         }
     }
@@ -51,10 +51,12 @@
 
 private fun Route.configurationRoutes(process: OperatorContext) {
     get("/v1/configuration") {
-        process.answer(call, Configuration.serializer()) { process.onControl { process.configuration() }.right() }
+        process.authorizeAndRespond(call, Configuration.serializer()) {
+            process.onControl { process.configuration() }.right()
+        }
     }
     post("/v1/configuration") {
-        process.answer(call, ApplyAnswer.serializer()) {
+        process.authorizeAndRespond(call, ApplyAnswer.serializer()) {
             call.readBody(applyReader).flatMap { request -> process.onControl { process.writer.apply(request) } }
         }
     }
@@ -62,10 +64,12 @@
 
 private fun Route.vmRoutes(process: OperatorContext) {
     get("/v1/vms") {
-        process.answer(call, ListSerializer(VmStatus.serializer())) { process.onControl { process.vms() }.right() }
+        process.authorizeAndRespond(call, ListSerializer(VmStatus.serializer())) {
+            process.onControl { process.vms() }.right()
+        }
     }
     post("/v1/vms/{id}/mark") {
-        process.answer(call, ApplyAnswer.serializer()) {
+        process.authorizeAndRespond(call, ApplyAnswer.serializer()) {
             call.readBody(markReader).flatMap { request ->
                 process.onControl { process.writer.mark(call.pathId(), request) }
             }
@@ -75,7 +79,7 @@
 
 private fun Route.operatorJobRoutes(process: OperatorContext) {
     post("/v1/jobs") {
-        process.answer(call, JobView.serializer(), HttpStatusCode.Accepted) {
+        process.authorizeAndRespond(call, JobView.serializer(), HttpStatusCode.Accepted) {
             either {
                 val plan = call.knownPlan(process.onControl { process.configuration() }).bind()
                 val key = call.idempotencyKey().bind()
@@ -85,28 +89,28 @@
         }
     }
     get("/v1/jobs") {
-        process.answer(call, ListSerializer(JobView.serializer())) {
+        process.authorizeAndRespond(call, ListSerializer(JobView.serializer())) {
             call.limit().map { limit -> process.onControl { process.jobs.list(call.parameters["plan"], limit) } }
         }
     }
     get("/v1/jobs/{id}") {
-        process.answer(call, JobView.serializer()) {
+        process.authorizeAndRespond(call, JobView.serializer()) {
             process.onControl { process.jobs.view(call.pathId(), plan = null) }
         }
     }
     delete("/v1/jobs/{id}") {
-        process.answer(call, JobView.serializer()) {
+        process.authorizeAndRespond(call, JobView.serializer()) {
             process.onControl { process.jobs.cancel(call.pathId(), plan = null) }
         }
     }
     get("/v1/jobs/{id}/why") {
-        process.answer(call, JobExplanation.serializer()) {
-            process.onControl { process.jobs.view(call.pathId(), plan = null) }.map(::whyOf)
+        process.authorizeAndRespond(call, JobExplanation.serializer()) {
+            process.onControl { process.jobs.view(call.pathId(), plan = null) }.map(::explain)
         }
     }
 }
 
-private fun whyOf(view: JobView): JobExplanation {
+private fun explain(view: JobView): JobExplanation {
     val record = view.record
     val reason = when {
         record.state.isFinal -> "It ended as ${record.state}: ${record.code.meaning}"
@@ -116,14 +120,14 @@
     return JobExplanation(record.jobId, reason)
 }
 
-private suspend fun <T> OperatorContext.answer(
+private suspend fun <T> OperatorContext.authorizeAndRespond(
     call: ApplicationCall,
     serializer: KSerializer<T>,
     status: HttpStatusCode = HttpStatusCode.OK,
     block: suspend () -> Either<Fault, T>,
 ) {
-    val answer = authorize(call).flatMap { block() }
-    call.respondEither(answer, serializer, clock(), status)
+    val result = authorize(call).flatMap { block() }
+    call.respondEither(result, serializer, clock(), status)
 }
 
 private fun ApplicationCall.pathId(): String = parameters["id"].orEmpty()
--- a/server/src/main/kotlin/dev/bronzeshore/server/OwnerService.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/OwnerService.kt
@@ -1,4 +1,4 @@
-/** Answers calls about the data centres that this process owns; all on the control thread. */
+/** Handles calls about the data centres that this process owns; used on the control thread only. */
 package dev.bronzeshore.server
 
 import arrow.core.Either
@@ -29,9 +29,9 @@
     fun allot(request: AllotmentRequest): Either<Fault, Allotments> =
         supervisors.find(request.dataCentre).flatMap { it.ledger }.map { it.answer(request) }
 
-    suspend fun submit(forward: JobForward): Either<Fault, JobRecord> =
-        supervisors.find(forward.dataCentre).flatMap { it.jobs }
-            .flatMap { it.submit(forward.plan, forward.idempotencyKey, forward.submission) }
+    suspend fun submit(forwarded: ForwardedSubmission): Either<Fault, JobRecord> =
+        supervisors.find(forwarded.dataCentre).flatMap { it.jobs }
+            .flatMap { it.submit(forwarded.plan, forwarded.idempotencyKey, forwarded.submission) }
 
     fun status(query: JobQuery): Either<Fault, JobView> = supervisors.find(query.dataCentre).flatMap { it.jobs }
         .flatMap { jobs -> jobs.status(query.jobId)?.toView()?.right() ?: notOpen(query).left() }
--- a/server/src/main/kotlin/dev/bronzeshore/server/PeerCalls.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/PeerCalls.kt
@@ -1,4 +1,4 @@
-/** The calls between bronzeshore processes. */
+/** Types and messages of the calls between bronzeshore processes. */
 package dev.bronzeshore.server
 
 import dev.bronzeshore.core.Configuration
@@ -14,27 +14,27 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.builtins.serializer
 
-/** A submission on its way to the owner of [dataCentre]. */
+/** A submission that is forwarded to the owner of [dataCentre]. */
 @Serializable
-internal data class JobForward(
+internal data class ForwardedSubmission(
     val dataCentre: String,
     val plan: String,
     val idempotencyKey: String,
     val submission: JobSubmission,
 )
 
-/** Names a job at the owner of [dataCentre]. */
+/** Identifies a job for the owner of [dataCentre]. */
 @Serializable
 internal data class JobQuery(val dataCentre: String, val jobId: String)
 
-/** Asks the owner of [dataCentre] for its open jobs, of one plan or of all. */
+/** Query for the open jobs of [dataCentre], of one plan or of all plans. */
 @Serializable
 internal data class JobListQuery(val dataCentre: String, val plan: String?, val limit: Int)
 
 @Serializable
 internal data class JobList(val jobs: List<JobView>)
 
-/** An answer without content. */
+/** An empty request or response. */
 @Serializable
 internal data class Acknowledged(val done: Boolean = true)
 
@@ -44,7 +44,7 @@
     val configurationPush = CallType("configuration-push", Configuration.serializer(), Long.serializer())
     val configurationPull = CallType("configuration-pull", Acknowledged.serializer(), Configuration.serializer())
     val allotments = CallType("allotments", AllotmentRequest.serializer(), Allotments.serializer())
-    val jobSubmit = CallType("job-submit", JobForward.serializer(), JobRecord.serializer())
+    val jobSubmit = CallType("job-submit", ForwardedSubmission.serializer(), JobRecord.serializer())
     val jobQuery = CallType("job-query", JobQuery.serializer(), JobView.serializer())
     val jobCancel = CallType("job-cancel", JobQuery.serializer(), JobView.serializer())
     val jobList = CallType("job-list", JobListQuery.serializer(), JobList.serializer())
--- a/server/src/main/kotlin/dev/bronzeshore/server/PeerGateway.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/PeerGateway.kt
@@ -1,4 +1,4 @@
-/** Typed calls to the owner of a data centre, wherever it runs. */
+/** Typed calls to other processes, and to the owner of a data centre whether it is local or remote. */
 package dev.bronzeshore.server
 
 import arrow.core.Either
@@ -26,7 +26,7 @@
     suspend fun <Q, A> call(member: Member, type: CallType<Q, A>, request: Q, timeoutMs: Long): Either<Fault, A> =
         client.call(member.address, type, request, clock() + timeoutMs)
 
-    /** Calls the owner of a data centre; [local] answers when that is this process. */
+    /** Calls the owner of a data centre; [local] handles the call if this process is the owner. */
     suspend fun <Q, A> callOwner(
         dataCentre: String,
         type: CallType<Q, A>,
--- a/server/src/main/kotlin/dev/bronzeshore/server/PeerHandlers.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/PeerHandlers.kt
@@ -1,4 +1,4 @@
-/** Answers to the calls of other processes; all run on the control thread. */
+/** Handlers for calls from other processes; all run on the control thread. */
 package dev.bronzeshore.server
 
 import arrow.core.Either
--- a/server/src/main/kotlin/dev/bronzeshore/server/Periodic.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/Periodic.kt
@@ -1,4 +1,4 @@
-/** Repeated work on the control thread. */
+/** Periodic tasks on the control thread. */
 package dev.bronzeshore.server
 
 import kotlinx.coroutines.CoroutineScope
--- a/server/src/main/kotlin/dev/bronzeshore/server/ProcessMetrics.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/ProcessMetrics.kt
@@ -1,4 +1,4 @@
-/** Metrics of one process, in a registry of its own. */
+/** Prometheus metrics of one process, in their own registry. */
 package dev.bronzeshore.server
 
 import dev.bronzeshore.core.ResultCode
@@ -14,7 +14,7 @@
 private val WAIT_BUCKETS_SECONDS =
     doubleArrayOf(0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1.0, 3.0, 7.7, 30.0, 300.0, 3_600.0)
 
-/** State of a process as its gauges show it. */
+/** Values of the gauges of one process. */
 internal data class ProcessSnapshot(
     val ownedDataCentres: Int = 0,
     val openJobs: Int = 0,
@@ -26,7 +26,7 @@
 /** Thread-safe. */
 internal class ProcessMetrics {
     private val registry = PrometheusRegistry()
-    private val answers = Counter.builder().name("bronzeshore_answers_total")
+    private val responses = Counter.builder().name("bronzeshore_answers_total")
         .help("Answers to callers by result code.").labelNames("code").register(registry)
     private val waitSeconds = Histogram.builder().name("bronzeshore_wait_seconds")
         .help("Time from acceptance to start, by kind of work.").labelNames("kind")
@@ -41,7 +41,7 @@
         addSnapshotGauges()
     }
 
-    fun countAnswer(code: ResultCode) = answers.labelValues(code.name).inc()
+    fun countResponse(code: ResultCode) = responses.labelValues(code.name).inc()
 
     fun observeWait(kind: String, waitMs: Long) = waitSeconds.labelValues(kind).observe(waitMs / MS_PER_SECOND)
 
@@ -49,7 +49,7 @@
 
     fun countPartFailure(workerId: String) = partFailures.labelValues(workerId).inc()
 
-    /** Numbers of one process, replaced as a whole by the control thread. */
+    /** Replaced as a whole by the control thread. */
     @Volatile
     var snapshot: ProcessSnapshot = ProcessSnapshot()
 
--- a/server/src/main/kotlin/dev/bronzeshore/server/ProcessRunner.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/ProcessRunner.kt
@@ -1,4 +1,4 @@
-/** Runs a process until it is asked to stop. */
+/** Runs a process until it receives a signal to stop. */
 package dev.bronzeshore.server
 
 import dev.bronzeshore.core.ComponentLog
@@ -8,7 +8,7 @@
 import java.util.concurrent.Executors
 import kotlin.system.exitProcess
 
-/** Longest time for requests in flight to finish after a planned stop was asked for. */
+/** Time limit for requests in flight to finish after a planned stop was requested. */
 private const val STOP_TIMEOUT_MS = 60_000L
 private const val EXIT_INVARIANT_FAILED = 70
 
--- a/server/src/main/kotlin/dev/bronzeshore/server/Readiness.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/Readiness.kt
@@ -1,4 +1,4 @@
-/** Whether this process takes work from callers. */
+/** Whether this process accepts work from callers. */
 package dev.bronzeshore.server
 
 import arrow.core.Either
@@ -7,7 +7,7 @@
 import dev.bronzeshore.core.Fault
 import dev.bronzeshore.core.ResultCode
 
-/** Read by all threads, changed by the control thread. */
+/** Read on any thread, written on the control thread. */
 internal class Readiness {
     @Volatile
     var isConfigured: Boolean = false
@@ -18,9 +18,9 @@
     val isReady: Boolean get() = isConfigured && !isStopping
 
     /**
-     * Says why no work is taken.
+     * Returns the fault for callers while no configuration is known.
      *
-     * A stopping process still answers: the balancer needs some time to notice that it is not ready any more.
+     * A stopping process still serves requests, because the load balancer needs time to notice that it is not ready.
      */
     fun check(): Either<Fault, Unit> =
         if (isConfigured) Unit.right() else Fault(ResultCode.NOT_READY, ResultCode.NOT_READY.meaning).left()
--- a/server/src/main/kotlin/dev/bronzeshore/server/RequestRoutes.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/RequestRoutes.kt
@@ -1,4 +1,4 @@
-/** Callers' interface to services: requests are streamed to an endpoint and its answer is streamed back. */
+/** HTTP routes for requests to services: bodies are streamed to an endpoint and responses are streamed back. */
 package dev.bronzeshore.server
 
 import arrow.core.Either
@@ -34,9 +34,10 @@
 internal const val WAIT_HEADER = "Bronzeshore-Wait-Ms"
 private const val SERVICES_PREFIX = "/v1/services/"
 
-/** Headers between the caller and bronzeshore; the token must not reach an endpoint. */
-private val OWN_HEADERS = setOf(KIND_HEADER, START_BEFORE_HEADER, IDEMPOTENT_HEADER, HttpHeaders.Authorization)
-    .mapTo(HashSet()) { it.lowercase() }
+/** Headers that only bronzeshore reads; the token among them must not reach an endpoint. */
+private val NOT_FORWARDED_HEADERS =
+    setOf(KIND_HEADER, START_BEFORE_HEADER, IDEMPOTENT_HEADER, HttpHeaders.Authorization)
+        .mapTo(HashSet()) { it.lowercase() }
 
 internal fun Route.requestRoutes(process: CallerContext) {
     route("$SERVICES_PREFIX{service}/{...}") {
@@ -45,49 +46,49 @@
 }
 
 private suspend fun CallerContext.handleRequest(call: ApplicationCall) {
-    var answered = false
+    var hasResponded = false
     val outcome = either {
         val plan = planOf(call).bind()
         val request = incomingRequest(call, plan).bind()
         requests.route(request) { head, writeBody ->
-            answered = true
-            call.respond(StreamedAnswer(head, writeBody))
+            hasResponded = true
+            call.respond(StreamedResponse(head, writeBody))
         }.bind()
     }
-    countRequest(outcome, call)
+    recordOutcome(outcome, call)
     outcome.onLeft { fault ->
-        // Once the answer has begun the connection is closed instead, so that it is not taken as whole.
-        if (answered) throw AnswerBrokenException(fault.message) else call.respondFault(fault, clock())
+        // After the response has begun the connection is closed instead, so that the caller sees that it is incomplete.
+        if (hasResponded) throw IncompleteResponseException(fault.message) else call.respondFault(fault, clock())
     }
 }
 
-private fun CallerContext.countRequest(outcome: Either<Fault, RouteReport>, call: ApplicationCall) {
-    count(outcome)
+private fun CallerContext.recordOutcome(outcome: Either<Fault, RouteReport>, call: ApplicationCall) {
+    countResponse(outcome)
     outcome.onRight { metrics.observeWait(call.request.headers[KIND_HEADER].orEmpty(), it.waitedMs) }
 }
 
-/** Ends an exchange whose answer broke off. */
-internal class AnswerBrokenException(message: String) : Exception(message)
+/** Closes the connection of a response that was cut off. */
+internal class IncompleteResponseException(message: String) : Exception(message)
 
 private suspend fun incomingRequest(call: ApplicationCall, plan: Plan): Either<Fault, IncomingRequest> = either {
     val service = call.parameters["service"].orEmpty()
-    val kind = kindOf(call, plan, service).bind()
+    val kind = selectKind(call, plan, service).bind()
     IncomingRequest(
         plan = plan.name,
         kind = kind,
         service = service,
         method = call.request.httpMethod.value,
         pathAndQuery = "/" + call.request.uri.removePrefix(SERVICES_PREFIX).substringAfter('/', ""),
-        headers = call.request.headers.entries().filter { it.key.lowercase() !in OWN_HEADERS }
+        headers = call.request.headers.entries().filter { it.key.lowercase() !in NOT_FORWARDED_HEADERS }
             .flatMap { (name, values) -> values.map { HeaderLine(name, it) } },
         body = call.receiveChannel(),
-        contentLength = contentLengthOf(call),
-        idempotent = idempotentOf(call).bind(),
-        startBeforeMs = startBeforeOf(call).bind(),
+        contentLength = parseContentLength(call),
+        idempotent = parseIdempotent(call).bind(),
+        startBeforeMs = parseStartBeforeMs(call).bind(),
     )
 }
 
-private fun kindOf(call: ApplicationCall, plan: Plan, service: String): Either<Fault, String> {
+private fun selectKind(call: ApplicationCall, plan: Plan, service: String): Either<Fault, String> {
     val offered = plan.kinds.filter { it.service == service }.map { it.name }
     val name = call.request.headers[KIND_HEADER] ?: offered.singleOrNull()
     return when {
@@ -117,18 +118,18 @@
 }
 
 /** Null for a chunked body; a request without either header has no body. */
-private fun contentLengthOf(call: ApplicationCall): Long? {
+private fun parseContentLength(call: ApplicationCall): Long? {
     val isChunked = call.request.headers[HttpHeaders.TransferEncoding] != null
     return if (isChunked) null else call.request.headers[HttpHeaders.ContentLength]?.toLongOrNull() ?: 0
 }
 
-private fun idempotentOf(call: ApplicationCall): Either<Fault, Boolean> {
+private fun parseIdempotent(call: ApplicationCall): Either<Fault, Boolean> {
     val text = call.request.headers[IDEMPOTENT_HEADER] ?: return false.right()
     return text.toBooleanStrictOrNull()?.right()
         ?: Fault(ResultCode.INVALID_VALUE, "\"$text\" is not a boolean.", IDEMPOTENT_HEADER, "true or false").left()
 }
 
-private fun startBeforeOf(call: ApplicationCall): Either<Fault, Long?> {
+private fun parseStartBeforeMs(call: ApplicationCall): Either<Fault, Long?> {
     val text = call.request.headers[START_BEFORE_HEADER] ?: return null.right()
     return text.toLongOrNull()?.takeIf { it > 0 }?.right()
         ?: Fault(
@@ -139,8 +140,10 @@
         ).left()
 }
 
-private class StreamedAnswer(private val head: AnswerHead, private val writeBody: suspend (ByteWriteChannel) -> Unit) :
-    OutgoingContent.WriteChannelContent() {
+private class StreamedResponse(
+    private val head: AnswerHead,
+    private val writeBody: suspend (ByteWriteChannel) -> Unit,
+) : OutgoingContent.WriteChannelContent() {
     override val status: HttpStatusCode = HttpStatusCode.fromValue(head.status)
     override val contentLength: Long? = head.contentLength
     override val contentType: ContentType? = null
--- a/server/src/main/kotlin/dev/bronzeshore/server/Settings.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/Settings.kt
@@ -4,11 +4,11 @@
 import dev.bronzeshore.core.ListenAddress
 import kotlinx.serialization.Serializable
 
-/** Where the platform's services answer. */
+/** Base URLs of the platform's services. */
 @Serializable
 public data class PlatformAddresses(public val tableUrl: String, public val vmListUrl: String)
 
-/** The whole of the settings file. */
+/** Content of the settings file. */
 @Serializable
 public data class Settings(
     public val processId: String,
@@ -18,7 +18,7 @@
     public val operators: ListenAddress,
     public val peers: ListenAddress,
     public val platform: PlatformAddresses,
-    /** Hex SHA-256 of the operators' bearer token. */
+    /** SHA-256 of the operators' bearer token, in hexadecimal. */
     public val operatorTokenSha256: String,
     /** Audit rows older than this are deleted. */
     public val auditRetentionDays: Int = 400,
--- a/server/src/main/kotlin/dev/bronzeshore/server/SettingsReader.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/SettingsReader.kt
@@ -1,4 +1,4 @@
-/** Reads and checks the settings file as a whole. */
+/** Reads and validates the settings file. */
 package dev.bronzeshore.server
 
 import arrow.core.Either
@@ -14,7 +14,7 @@
 private val SHA256_HEX = Regex("[0-9a-f]{64}")
 private val HOST = Regex("[0-9a-fA-F.:]+")
 
-/** Reports all faults in one go, each with its code and line. */
+/** Reports all faults of a file together, each with its code and line. */
 public class SettingsReader {
     private val reader = DocumentReader(Settings.serializer(), RULES)
 
@@ -22,13 +22,13 @@
     public fun read(file: String, text: String): Either<NonEmptyList<Fault>, Settings> = reader.read(file, text)
 
     private companion object {
-        fun url(shape: String) = FieldRule(shape, ResultCode.INVALID_VALUE, "http://ADDRESS:PORT without a path") {
+        fun url(path: String) = FieldRule(path, ResultCode.INVALID_VALUE, "http://ADDRESS:PORT without a path") {
             HTTP_URL.matches(it.content)
         }
 
-        fun listen(shape: String) = listOf(
-            FieldRule("$shape.host", ResultCode.INVALID_VALUE, "an IP address") { HOST.matches(it.content) },
-            FieldRule.number("$shape.port", 0, MAX_PORT),
+        fun listen(path: String) = listOf(
+            FieldRule("$path.host", ResultCode.INVALID_VALUE, "an IP address") { HOST.matches(it.content) },
+            FieldRule.number("$path.port", 0, MAX_PORT),
         )
 
         val RULES = listOf(
--- a/server/src/main/kotlin/dev/bronzeshore/server/SubmissionReader.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/SubmissionReader.kt
@@ -1,4 +1,4 @@
-/** Reads and checks job submissions. */
+/** Validation of job submissions. */
 package dev.bronzeshore.server
 
 import dev.bronzeshore.core.JobSubmission
@@ -7,7 +7,7 @@
 import dev.bronzeshore.plans.FieldRule
 import kotlinx.serialization.json.longOrNull
 
-/** Bounds of one part; multiplied by [MAX_PARTS] each still fits a 64-bit integer. */
+/** Limits for one part; multiplied by [MAX_PARTS] each still fits into a 64-bit integer. */
 private const val MAX_PROCESSORS_MILLICORES = 10_000_000L
 private const val MAX_MEMORY_BYTES = 1L shl 49
 private const val MAX_ACCELERATORS = 10_000L
@@ -15,7 +15,7 @@
 private const val MAX_RUN_MS = 365L * 24 * 3_600 * 1_000
 private const val MAX_PAYLOAD_CHARACTERS = 65_536
 
-/** The year 2200; a later deadline is more likely a mistake in the unit. */
+/** The year 2200; a later deadline is probably given in the wrong unit. */
 private const val MAX_DEADLINE_MS = 7_258_118_400_000L
 
 internal val submissionReader: DocumentReader<JobSubmission> = DocumentReader(
--- a/server/src/main/kotlin/dev/bronzeshore/server/Fleet.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/VmInventory.kt
@@ -1,4 +1,4 @@
-/** The VMs that the platform lists, merged with marks and quarantine. */
+/** The VMs that the platform lists, merged with the operators' marks and the quarantine of workers. */
 package dev.bronzeshore.server
 
 import dev.bronzeshore.core.ClockMs
@@ -16,14 +16,14 @@
 import dev.bronzeshore.platform.VmListApi
 
 /** Used on the control thread only. */
-internal class Fleet(private val clock: ClockMs, private val readList: VmListApi) {
+internal class VmInventory(private val clock: ClockMs, private val readList: VmListApi) {
     private val log = ComponentLog("membership")
     private val view = VmView(clock)
     private val quarantines = HashMap<String, Quarantine>()
     private val dataCentreOf = HashMap<String, String>()
     private var marks: List<MarkedVm> = emptyList()
 
-    /** Reads the list; while it cannot be read the last one counts. */
+    /** Reads the VM list; the last list stays in use while reading fails. */
     suspend fun refresh() {
         readList().fold({ log.debug { "The VM list could not be read: ${it.message}" } }, view::setList)
         val workers = view.members().map { it.vm }.filter { it.role == VmRole.WORKER }
@@ -40,7 +40,7 @@
         view.setMarks(current)
     }
 
-    /** VMs that may still run something; those that take no new work are `LEAVING`. */
+    /** VMs that may still run work; those that accept no new work are `LEAVING`. */
     fun vms(): List<Vm> = view.members().filter { it.presence != Presence.GONE }.map { it.vm }
 
     fun endpointIds(): Set<String> = view.members().filter {
@@ -50,7 +50,7 @@
     fun leavingEndpoints(): Set<String> = view.members()
         .filter { it.vm.role == VmRole.ENDPOINT && it.vm.state == VmState.LEAVING }.mapTo(HashSet()) { it.vm.id }
 
-    /** True if the operators state that this process no longer runs. */
+    /** True if the operators have marked this process as no longer running. */
     fun isGone(processId: String): Boolean = marks.any { it.vmId == processId && it.mark == VmMark.GONE }
 
     fun isQuarantined(workerId: String): Boolean = quarantineOf(workerId)?.accepts(workerId) == false
