--- a/server/src/main/kotlin/dev/bronzeshore/server/JobRouter.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/JobRouter.kt
@@ -48,9 +48,8 @@
         return allowed.drop(first) + allowed.take(first)
     }
 
-    private fun mayRetryElsewhere(fault: Fault) = fault.code.outcome == Outcome.NOT_RUN &&
-        fault.code in RETRY_ELSEWHERE_CODES ||
-        fault.code == ResultCode.PEER_UNAVAILABLE
+    private fun mayRetryElsewhere(fault: Fault) =
+        fault.code.outcome == Outcome.NOT_RUN && fault.code in RETRYABLE || fault.code == ResultCode.PEER_UNAVAILABLE
 
     /** State of a job from its row and its owner; a job of another plan is reported as unknown. */
     suspend fun view(jobId: String, plan: String?): Either<Fault, JobView> = locate(jobId, plan).flatMap { record ->
@@ -104,7 +103,8 @@
             .firstNotNullOfOrNull { dataCentre -> askOwner(jobId, dataCentre).getOrNull()?.record }
 
     private companion object {
-        val RETRY_ELSEWHERE_CODES = setOf(
+        /** Codes after which another data centre is tried. */
+        val RETRYABLE = setOf(
             ResultCode.FITS_NOWHERE,
             ResultCode.OVER_ALLOWANCE,
             ResultCode.NOT_OWNER,
