--- a/server/src/main/kotlin/dev/bronzeshore/server/BronzeshoreProcess.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/BronzeshoreProcess.kt
@@ -88,7 +88,7 @@
     private val jobRouter: JobRouter = JobRouter(gateway, ownerService, table) { configuration.current }
     private val proxy = RequestProxy(Dispatchers.Default, clock)
     private val requestRouter: RequestRouter =
-        RequestRouter(control, clock, proxy, Random.Default, askForSlots = { askForSlots() })
+        RequestRouter(control, clock, proxy, Random.Default, askForSlots = { requestSlots() })
     private val allotmentRefresher: AllotmentRefresher =
         AllotmentRefresher(gateway, ownerService, requestRouter, dataCentres, self.processId)
     private val configurationRefresher = ConfigurationRefresher(table, configuration)
@@ -160,7 +160,7 @@
         controlScope.repeatEvery(MEMBERS_PERIOD_MS) { directory.refresh() }
         controlScope.repeatEvery(CONFIGURATION_PERIOD_MS) { refreshConfiguration() }
         controlScope.repeatEvery(VMS_PERIOD_MS) { refreshVms() }
-        controlScope.repeatEvery(ALLOTMENTS_PERIOD_MS) { askForSlots() }
+        controlScope.repeatEvery(ALLOTMENTS_PERIOD_MS) { requestSlots() }
         controlScope.repeatEvery(ADMISSION_PERIOD_MS) { requestRouter.tick() }
         val retention = AuditRetention(settings.auditRetentionDays * MS_PER_DAY)
         controlScope.repeatEvery(AUDIT_PRUNE_PERIOD_MS) { AuditPruner(table, clock, retention, ::newWriteId).prune() }
@@ -175,7 +175,7 @@
         }?.let(configuration::offer)
     }
 
-    private fun askForSlots(): Unit = allotmentRefresher.targets().forEach { dataCentre ->
+    private fun requestSlots(): Unit = allotmentRefresher.targets().forEach { dataCentre ->
         controlScope.launch { allotmentRefresher.refresh(dataCentre) }
     }
 
--- a/server/src/main/kotlin/dev/bronzeshore/server/DataCentreSupervisor.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/DataCentreSupervisor.kt
@@ -81,8 +81,8 @@
 
     /** Available once every slot grant of the previous owner has expired, so that no slot is granted twice. */
     val ledger: Either<Fault, AllotmentLedger>
-        get() = current().flatMap { owned ->
-            if (context.clock() > owned.previousUntilMs + MAX_CLOCK_SKEW_MS) owned.ledger.right() else notOwner().left()
+        get() = current().flatMap { term ->
+            if (context.clock() > term.priorUntilMs + MAX_CLOCK_SKEW_MS) term.ledger.right() else notOwner().left()
         }
 
     private fun current(): Either<Fault, OwnershipTerm> =
@@ -113,8 +113,8 @@
         val scope = CoroutineScope(
             context.controlScope.coroutineContext + SupervisorJob(context.controlScope.coroutineContext.job),
         )
-        var startedJobs: DataCentreJobs? = null
-        val placer = PlacementEngine(context.clock, mayStop = { jobId -> startedJobs?.isIdempotent(jobId) == true })
+        var termJobs: DataCentreJobs? = null
+        val placer = PlacementEngine(context.clock, mayStop = { jobId -> termJobs?.isIdempotent(jobId) == true })
         val jobs = DataCentreJobs(
             JobsContext(
                 authority = OwnerAuthority(
@@ -133,7 +133,7 @@
                 listeners = context.listeners,
             ),
         )
-        startedJobs = jobs
+        termJobs = jobs
         val ledger = AllotmentLedger(dataCentre, context.clock) { ownership.actUntilMs }
         val started = OwnershipTerm(gained.term, gained.previousEffectsUntilMs, scope, placer, jobs, ledger)
         applyView(started)
@@ -153,10 +153,10 @@
         )
     }
 
-    /** State of one term of ownership; calls of the previous owner may take effect until [previousUntilMs]. */
+    /** State of one term of ownership; calls of the previous owner may take effect until [priorUntilMs]. */
     private class OwnershipTerm(
         val term: Long,
-        val previousUntilMs: Long,
+        val priorUntilMs: Long,
         val scope: CoroutineScope,
         val placer: PlacementEngine,
         val jobs: DataCentreJobs,
