--- a/server/src/test/kotlin/dev/bronzeshore/server/ExamplesTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/ExamplesTest.kt
@@ -1,4 +1,4 @@
-/** Loads every example of the repository through the readers that the binaries use. */
+/** Reads every example of the repository with the readers that the binaries use. */
 package dev.bronzeshore.server
 
 import dev.bronzeshore.core.Fault
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
 
-/** Guards against examples that fall behind the settings and the lists, and against ones that do not fit together. */
+/** Guards against examples that are outdated or inconsistent with each other. */
 class ExamplesTest {
     @ParameterizedTest
     @MethodSource("settingsFiles")
@@ -35,13 +35,13 @@
     fun `allowances name data centres that have an entry VM`(example: String) {
         val file = "$example/allowances.json"
         val allowances = AllowanceListReader(null).read(file, RepositoryFiles.text(file)).getOrNull().orEmpty()
-        val served = settingsOf(example).map { it.dataCentre }.toSet()
-        assertEquals(served, allowances.map { it.dataCentre }.toSet())
+        val entryDataCentres = settingsOf(example).map { it.dataCentre }.toSet()
+        assertEquals(entryDataCentres, allowances.map { it.dataCentre }.toSet())
     }
 
     @ParameterizedTest
     @MethodSource("examples")
-    fun `entry VMs of one example do not clash`(example: String) {
+    fun `entry VMs of one example have distinct names and addresses`(example: String) {
         val settings = settingsOf(example)
         assertEquals(settings.size, settings.map { it.processId }.toSet().size)
         val addresses = settings.flatMap { listOf(it.callers, it.operators, it.peers) }
@@ -51,7 +51,7 @@
 
     @ParameterizedTest
     @MethodSource("users")
-    fun `each user's example has two entry VMs in each of three data centres`(example: String) {
+    fun `each user example has two entry VMs in each of three data centres`(example: String) {
         val byDataCentre = settingsOf(example).groupingBy { it.dataCentre }.eachCount()
         assertEquals(3, byDataCentre.size)
         assertTrue(byDataCentre.values.all { it == 2 }) { byDataCentre.toString() }
--- a/server/src/test/kotlin/dev/bronzeshore/server/FaultSummaries.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/FaultSummaries.kt
@@ -1,4 +1,4 @@
-/** Short forms of faults for tables of cases. */
+/** Short forms of faults for test cases. */
 package dev.bronzeshore.server
 
 import arrow.core.Either
--- a/server/src/test/kotlin/dev/bronzeshore/server/ModuleGraph.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/ModuleGraph.kt
@@ -1,4 +1,4 @@
-/** The modules of the workspace with what their poms and their main sources depend on. */
+/** Dependencies between the modules of the workspace, from their poms and main sources. */
 package dev.bronzeshore.server
 
 import org.w3c.dom.Element
@@ -26,11 +26,11 @@
             )
         }
 
-    /** Dependencies that end up in what is shipped. */
+    /** Dependencies that are part of the shipped binaries. */
     fun mainDependenciesOf(module: String): Set<String> =
         dependenciesOf(module).filter { it.scope != "test" }.mapTo(sortedSetOf()) { it.module }
 
-    /** Main dependencies, also indirect ones. */
+    /** Direct and transitive main dependencies. */
     fun reachableFrom(module: String): Set<String> {
         val seen = sortedSetOf<String>()
         val open = ArrayDeque(mainDependenciesOf(module))
--- a/server/src/test/kotlin/dev/bronzeshore/server/ModuleGraphTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/ModuleGraphTest.kt
@@ -8,12 +8,12 @@
 import org.junit.jupiter.params.provider.MethodSource
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Guards against feature modules that come to depend on each other, and against test helpers in what is shipped. */
+/** Guards against feature modules that depend on each other and against test helpers in the shipped binaries. */
 class ModuleGraphTest {
     private val graph = ModuleGraph.ofRepository()
 
     @Test
-    fun `the rules below cover every feature module`() {
+    fun `the rules cover every module`() {
         assertEquals((FEATURE_MODULES + OTHER_MODULES).toSortedSet(), graph.modules.toSortedSet())
     }
 
@@ -38,7 +38,7 @@
     }
 
     @Test
-    fun `no module depends on itself, directly or not`() {
+    fun `no module depends on itself directly or transitively`() {
         val inCycles = graph.modules.filter { it in graph.reachableFrom(it) }
         assertTrue(inCycles.isEmpty()) { "modules in a cycle: $inCycles" }
     }
@@ -51,23 +51,23 @@
     }
 
     @Test
-    fun `the tool does not depend on the server`() {
+    fun `ctl does not depend on the server`() {
         val reachable = graph.reachableFrom("ctl")
         assertTrue("server" !in reachable) { "ctl depends on $reachable" }
     }
 
     @Test
-    fun `a cycle, a test dependency and a foreign import are recognised`() {
-        val faulty = ModuleGraph(
+    fun `a cycle, a test dependency and an import of another module are detected`() {
+        val cyclic = ModuleGraph(
             modules = listOf("a", "b"),
             readPom = { if (it == "a") pom("b", "compile") else pom("a", "runtime") },
             sourcesOf = { mapOf("A.kt" to "package x\n\nimport dev.bronzeshore.jobs.JobTracker\n") },
         )
-        assertEquals(setOf("a", "b"), faulty.reachableFrom("a"))
-        assertEquals(listOf(SourceImport("A.kt", "a", "jobs")), faulty.importsOf("a"))
-        val tested = ModuleGraph(listOf("a"), { pom("b", "test") }, { emptyMap() })
-        assertEquals(listOf(ModuleDependency("b", "test")), tested.dependenciesOf("a"))
-        assertEquals(emptySet<String>(), tested.mainDependenciesOf("a"))
+        assertEquals(setOf("a", "b"), cyclic.reachableFrom("a"))
+        assertEquals(listOf(SourceImport("A.kt", "a", "jobs")), cyclic.importsOf("a"))
+        val testOnly = ModuleGraph(listOf("a"), { pom("b", "test") }, { emptyMap() })
+        assertEquals(listOf(ModuleDependency("b", "test")), testOnly.dependenciesOf("a"))
+        assertEquals(emptySet<String>(), testOnly.mainDependenciesOf("a"))
     }
 
     private fun pom(dependency: String, scope: String) = """
--- a/server/src/test/kotlin/dev/bronzeshore/server/RepositoryFiles.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/RepositoryFiles.kt
@@ -1,11 +1,11 @@
-/** Finds files of the repository from the directory in which the tests of a module run. */
+/** Access to files of the repository from the working directory of a test. */
 package dev.bronzeshore.server
 
 import java.nio.file.Files
 import java.nio.file.Path
 
 internal object RepositoryFiles {
-    /** The nearest directory above the working directory that holds the wrapper of the `bronzeshore` binary. */
+    /** The nearest directory above the working directory that contains `bin/bronzeshore`. */
     val root: Path = generateSequence(Path.of("").toAbsolutePath()) { it.parent }
         .first { Files.exists(it.resolve("bin/bronzeshore")) }
 
@@ -13,7 +13,7 @@
 
     fun exists(path: String): Boolean = Files.exists(root.resolve(path))
 
-    /** All regular files below [directory] whose path relative to the root matches [wanted], in order. */
+    /** Sorted paths, relative to the root, of the regular files below [directory] that match [wanted]. */
     fun below(directory: String, wanted: (path: String) -> Boolean): List<String> =
         Files.walk(root.resolve(directory)).use { paths ->
             paths.filter { Files.isRegularFile(it) }
--- a/server/src/test/kotlin/dev/bronzeshore/server/ResultCodePageTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/ResultCodePageTest.kt
@@ -1,4 +1,4 @@
-/** Compares the page of result codes with the codes themselves. */
+/** Compares the page of result codes with the enum [ResultCode]. */
 package dev.bronzeshore.server
 
 import dev.bronzeshore.core.ResultCode
@@ -8,7 +8,7 @@
 
 private const val PAGE = "docs/result-codes.md"
 
-/** Guards against codes that are missing from the page, and against rows that name no code or describe another one. */
+/** Guards against codes missing from the page and against rows that name no code or describe another one. */
 class ResultCodePageTest {
     private data class PageRow(
         val number: String,
@@ -31,7 +31,7 @@
     }
 
     @Test
-    fun `every code has its row and every row its code`() {
+    fun `the rows of the page match the codes`() {
         assertEquals(codeRows.joinToString("\n"), pageRows.joinToString("\n"))
     }
 
--- a/server/src/test/kotlin/dev/bronzeshore/server/SettingsReaderTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/SettingsReaderTest.kt
@@ -1,4 +1,4 @@
-/** Faulty settings and the faults that are reported for them. */
+/** Invalid settings and the faults that are reported for them. */
 package dev.bronzeshore.server
 
 import dev.bronzeshore.core.ListenAddress
@@ -9,9 +9,9 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
 
-/** Guards against faulty settings that are accepted, or reported one by one, without a place or with the token. */
+/** Guards against invalid settings that are accepted or reported one by one, without a place or with the token. */
 class SettingsReaderTest {
-    /** [replaced] is the part of the valid settings that [replacement] takes the place of. */
+    /** [replacement] takes the place of the text [replaced] in the valid settings. */
     internal data class Case(
         val name: String,
         val replaced: String,
@@ -31,14 +31,14 @@
     @ParameterizedTest
     @MethodSource("cases")
     internal fun `faults in settings`(case: Case) {
-        assertTrue(case.replaced in VALID) { "the case does not fit the valid settings" }
+        assertTrue(case.replaced in VALID) { "the valid settings do not contain the text to replace" }
         val faults = SettingsReader().read("s.json", VALID.replace(case.replaced, case.replacement)).faults()
         assertEquals(case.expected, faults.map { it.summary() })
         assertTrue(faults.all { !it.accepted.isNullOrBlank() })
     }
 
     @Test
-    fun `a plain token in place of its hash is not repeated in the message`() {
+    fun `a plain token in place of its hash is not included in the message`() {
         val faults = SettingsReader().read("s.json", VALID.replace(HASH, "open-sesame")).faults()
         assertEquals(listOf("1012 s.json:12 operatorTokenSha256"), faults.map { it.summary() })
         assertFalse("open-sesame" in faults.toString())
--- a/server/src/test/kotlin/dev/bronzeshore/server/SubmissionReaderTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/SubmissionReaderTest.kt
@@ -1,4 +1,4 @@
-/** Job submissions at and beyond the bounds, and the faults that are reported for them. */
+/** Job submissions at and beyond the limits, and the faults that are reported for them. */
 package dev.bronzeshore.server
 
 import dev.bronzeshore.core.JobSubmission
@@ -10,9 +10,9 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
 
-/** Guards against bad submissions that are accepted, are refused without a place, or overflow in the sums of sizes. */
+/** Guards against invalid submissions that are accepted, rejected without a place, or overflow the sums of sizes. */
 class SubmissionReaderTest {
-    /** [fields] are added to a submission that is otherwise complete. */
+    /** [fields] are added to an otherwise complete submission; in faulty documents they are the whole document. */
     internal data class Case(val fields: String, val expected: String, val accepted: String) {
         override fun toString() = "${fields.take(MAX_TITLE)} is $expected"
     }
@@ -29,7 +29,7 @@
 
     @ParameterizedTest
     @MethodSource("acceptedFields")
-    fun `values at the bounds are accepted`(fields: String) {
+    fun `values at the limits are accepted`(fields: String) {
         assertEquals(
             emptyList<String>(),
             submissionReader.read("body", submission(fields)).faults().map {
--- a/server/src/test/kotlin/dev/bronzeshore/server/processes/Await.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/processes/Await.kt
@@ -1,11 +1,11 @@
-/** Waits on conditions. */
+/** Waiting for conditions in tests. */
 package dev.bronzeshore.server.processes
 
 import java.util.concurrent.locks.LockSupport
 
 private const val POLL_NANOS = 20_000_000L
 
-/** Checks [condition] until it holds; fails with [what] after [timeoutMs]. Returns the time that passed. */
+/** Polls [condition] until it holds and returns the elapsed time; fails with [what] after [timeoutMs]. */
 internal fun awaitUntil(what: String, timeoutMs: Long, condition: () -> Boolean): Long {
     val startedAtMs = System.currentTimeMillis()
     while (!condition()) {
--- a/server/src/test/kotlin/dev/bronzeshore/server/processes/BadInputProcessTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/processes/BadInputProcessTest.kt
@@ -48,10 +48,10 @@
         Case("unknown path", ResultCode.UNKNOWN_ROUTE, path = "/v2/jobs"),
     )
 
-    /** Guards against bad input that is accepted, gets no numbered answer, or costs what was accepted before. */
+    /** Guards against invalid input that is accepted, gets no numbered result code or affects a job accepted before. */
     @Test
     @Order(1)
-    fun `each bad call gets its numbered code, and a job accepted before still ends`() {
+    fun `each invalid call gets its result code and a job accepted before still ends`() {
         val entry = cluster.entries.single()
         val size = Resources(1_000, GIB)
         val jobs = JobBatch("bad-input") { cluster.entries }
--- a/server/src/test/kotlin/dev/bronzeshore/server/processes/BodyPattern.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/processes/BodyPattern.kt
@@ -1,11 +1,11 @@
-/** Bodies of any length that differ between callers and need no memory for the whole. */
+/** Generates bodies of any length that differ between callers, without holding a whole body in memory. */
 package dev.bronzeshore.server.processes
 
 import java.io.OutputStream
 import java.nio.ByteBuffer
 import kotlin.random.Random
 
-/** Random blocks from [seed]; each begins with its index, so that a lost or repeated block is noticed. */
+/** Random blocks from [seed]; each begins with its offset, so that a lost or repeated block is detected. */
 internal class BodyPattern(seed: Long) {
     private val block = Random(seed).nextBytes(BLOCK_BYTES)
 
@@ -24,7 +24,7 @@
 
     fun expected(): Expected = Expected()
 
-    /** Compares bytes as they arrive. */
+    /** Compares received bytes with the pattern as they arrive. */
     inner class Expected {
         private var offset = 0L
         private var current = ByteArray(0)
--- a/server/src/test/kotlin/dev/bronzeshore/server/processes/ChildProcess.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/processes/ChildProcess.kt
@@ -1,4 +1,4 @@
-/** One program of the test run in a JVM of its own. */
+/** A program that a test runs in its own JVM. */
 package dev.bronzeshore.server.processes
 
 import java.nio.file.Path
@@ -7,11 +7,11 @@
 
 private const val SIGNAL_WAIT_SECONDS = 10L
 
-/** Runs [mainClass] with the class path of the test run; what it prints goes to [log]. */
+/** Runs [mainClass] with the class path of the test; its output goes to [log]. */
 internal class ChildProcess(mainClass: String, arguments: List<String>, private val log: Path) {
     private val process: Process = ProcessBuilder(
         listOf(Path.of(System.getProperty("java.home"), "bin", "java").toString()) +
-            // Small heaps and one compiler tier: several processes share the machine with the build.
+            // Small heaps and one compiler tier, because several processes share the machine with the build.
             listOf("-Xmx128m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1") +
             listOf("-cp", System.getProperty("java.class.path"), mainClass) + arguments,
     ).redirectErrorStream(true).redirectOutput(log.toFile()).start()
--- a/server/src/test/kotlin/dev/bronzeshore/server/processes/ClusterLists.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/processes/ClusterConfiguration.kt
@@ -1,4 +1,4 @@
-/** The platform, the plans and the allowances that all process tests use. */
+/** Platform, plans and allowances that all process tests use. */
 package dev.bronzeshore.server.processes
 
 import dev.bronzeshore.core.Allowance
--- a/server/src/test/kotlin/dev/bronzeshore/server/processes/ClusterHttp.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/processes/ClusterHttp.kt
@@ -1,4 +1,4 @@
-/** A bounded HTTP client for the tests. */
+/** HTTP client with timeouts for the tests. */
 package dev.bronzeshore.server.processes
 
 import dev.bronzeshore.core.WireJson
@@ -23,7 +23,7 @@
     val headers: Map<String, String> = emptyMap(),
 )
 
-/** [status] is 0 if the connection broke before the answer was complete; [text] says why then. */
+/** [status] is 0 if the connection broke before the response was complete; [text] then holds the cause. */
 internal data class HttpReply(val status: Int, val text: String) {
     val fault: FaultBody? by lazy {
         runCatching { WireJson.decodeFromString(FaultBody.serializer(), text) }.getOrNull()
--- a/server/src/test/kotlin/dev/bronzeshore/server/processes/ClusterTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/processes/ClusterTest.kt
@@ -1,4 +1,4 @@
-/** Starts one cluster for all tests of a class. */
+/** Base class of tests that share one cluster per class. */
 package dev.bronzeshore.server.processes
 
 import org.junit.jupiter.api.AfterAll
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.io.TempDir
 import java.nio.file.Path
 
-/** The tests run in their stated order, since each one leaves the cluster to the next. */
+/** Tests run in their `@Order`, because each one continues with the cluster of the previous one. */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 @TestMethodOrder(MethodOrderer.OrderAnnotation::class)
 internal abstract class ClusterTest(private val size: Int) {
@@ -21,5 +21,5 @@
     }
 
     @AfterAll
-    fun endCluster() = cluster.close()
+    fun stopCluster() = cluster.close()
 }
--- a/server/src/test/kotlin/dev/bronzeshore/server/processes/EntryProcess.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/processes/EntryProcess.kt
@@ -1,4 +1,4 @@
-/** One bronzeshore process as its callers and operators see it. */
+/** Client for one bronzeshore process, with the calls of callers and operators. */
 package dev.bronzeshore.server.processes
 
 import dev.bronzeshore.core.ApplyRequest
@@ -17,7 +17,7 @@
     private val callerUrl = "http://127.0.0.1:${settings.callers.port}"
     private val operatorUrl = "http://127.0.0.1:${settings.operators.port}"
 
-    fun isAnswering(): Boolean = http.send(HttpCall("GET", "$operatorUrl/healthz")).status == HTTP_OK
+    fun isResponding(): Boolean = http.send(HttpCall("GET", "$operatorUrl/healthz")).status == HTTP_OK
 
     fun isReady(): Boolean = readyStatus() == HTTP_OK
 
@@ -45,14 +45,14 @@
 
     fun request(requestId: String): HttpReply = requestAsync(requestId).get()
 
-    /** Sends a request that may not run twice; its body is [requestId], and so is the right answer. */
+    /** Sends a non-idempotent request whose body, and expected response body, is [requestId]. */
     fun requestAsync(requestId: String): CompletableFuture<HttpReply> {
         val headers = mapOf(REQUEST_HEADER to requestId)
         val url = "$callerUrl/v1/services/booking/slots"
         return http.sendAsync(HttpCall("POST", url, requestId.toByteArray(), CALLER_TOKEN, headers))
     }
 
-    /** Sends any call to the callers' port. */
+    /** Sends any call to the port for callers. */
     fun call(method: String, path: String, body: ByteArray, token: String?, headers: Map<String, String>): HttpReply =
         http.send(HttpCall(method, "$callerUrl$path", body, token, headers))
 
--- a/server/src/test/kotlin/dev/bronzeshore/server/processes/JobBatch.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/processes/JobBatch.kt
@@ -1,4 +1,4 @@
-/** Jobs that a test submits and follows to their ends. */
+/** Jobs that a test submits and tracks until they end. */
 package dev.bronzeshore.server.processes
 
 import dev.bronzeshore.core.JobRecord
@@ -16,15 +16,15 @@
 /** A job that was accepted. */
 internal class AcceptedJob(val key: String, val submission: JobSubmission, val jobId: String)
 
-/** Every other job may not run twice. */
+/** Every second job is not idempotent. */
 internal class JobBatch(private val name: String, private val entries: () -> List<EntryProcess>) {
     private val accepted = ConcurrentLinkedQueue<AcceptedJob>()
 
     val size: Int get() = accepted.size
-    val notRepeatable: Set<String>
+    val nonIdempotentJobIds: Set<String>
         get() = accepted.filterNot { it.submission.idempotent }.mapTo(HashSet()) { it.jobId }
 
-    /** Four such jobs fill what the plan may use in a data centre. */
+    /** Four such jobs use up the plan's allowance in a data centre. */
     private fun submission(dataCentre: String, number: Int) = JobSubmission(
         "seasonPlan",
         Resources(16_000, GIB),
@@ -33,7 +33,7 @@
         idempotent = number % 2 == 0,
     )
 
-    /** Submits [count] jobs to each of [dataCentres] at the same time, in turn through all entries. */
+    /** Submits [count] jobs to each of [dataCentres] concurrently, through all entries in turn. */
     fun submit(dataCentres: Collection<String>, count: Int) {
         val threads = Executors.newFixedThreadPool(maxOf(1, dataCentres.size))
         try {
@@ -47,11 +47,11 @@
     private fun submitOne(dataCentre: String, number: Int) {
         val key = "$name-$dataCentre-$number"
         val submission = submission(dataCentre, number)
-        accepted += AcceptedJob(key, submission, accept(key, submission, number))
+        accepted += AcceptedJob(key, submission, submitUntilAccepted(key, submission, number))
     }
 
-    /** Repeats the same submission through other entries until one accepts it. */
-    private fun accept(key: String, submission: JobSubmission, number: Int): String {
+    /** Retries the same submission through other entries until one accepts it. */
+    private fun submitUntilAccepted(key: String, submission: JobSubmission, number: Int): String {
         var jobId: String? = null
         var attempts = number
         awaitUntil("job $key is accepted", ACCEPT_TIMEOUT_MS) {
@@ -65,27 +65,27 @@
         return checkNotNull(jobId)
     }
 
-    /** Submits every job again and returns those that got another id. */
-    fun repeatAll(): List<String> = accepted.withIndex().mapNotNull { (index, job) ->
-        val again = accept(job.key, job.submission, index + 1)
+    /** Submits every job again and returns those that got a different id. */
+    fun resubmitAll(): List<String> = accepted.withIndex().mapNotNull { (index, job) ->
+        val again = submitUntilAccepted(job.key, job.submission, index + 1)
         if (again == job.jobId) null else "${job.key}: ${job.jobId} and $again"
     }
 
     /** Waits until all accepted jobs have ended; returns those that did not succeed. */
     fun awaitEnds(timeoutMs: Long): List<String> {
         val open = accepted.mapTo(HashSet()) { it.jobId }
-        val notSucceeded = mutableListOf<String>()
+        val failedJobs = mutableListOf<String>()
         awaitUntil("all jobs of $name end", timeoutMs) {
             val entry = entries().first()
             open.removeIf { jobId ->
                 val record = entry.job(jobId)?.record
                 if (record?.state?.isFinal == true && record.state != JobState.SUCCEEDED) {
-                    notSucceeded += "$jobId ${record.state} ${record.code}"
+                    failedJobs += "$jobId ${record.state} ${record.code}"
                 }
                 record?.state?.isFinal == true
             }
             open.isEmpty()
         }
-        return notSucceeded
+        return failedJobs
     }
 }
--- a/server/src/test/kotlin/dev/bronzeshore/server/processes/OwnerLossProcessTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/processes/OwnerLossProcessTest.kt
@@ -1,4 +1,4 @@
-/** Owners that die or pause, as real processes. */
+/** Killed and paused owners of data centres, with real processes. */
 package dev.bronzeshore.server.processes
 
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -6,12 +6,12 @@
 import org.junit.jupiter.api.Order
 import org.junit.jupiter.api.Test
 
-private const val TAKEOVER_BOUND_MS = 5_000L
+private const val TAKEOVER_LIMIT_MS = 5_000L
 private const val PAUSE_MS = 8_000L
 private const val END_TIMEOUT_MS = 60_000L
 
 internal class OwnerLossProcessTest : ClusterTest(size = 4) {
-    /** Guards against a data centre that stays without an owner, and against work lost or repeated by the takeover. */
+    /** Guards against a data centre that stays without an owner and against work lost or repeated by the takeover. */
     @Test
     @Order(1)
     fun `a killed owner is replaced within 5 s and nothing is lost or repeated`() {
@@ -20,7 +20,7 @@
         val others = cluster.entries - victim
         val jobs = JobBatch("kill") { others }
         RequestLoad("kill") { others }.use { load ->
-            submitWithLastIn(lost.map { it.dataCentre }, jobs)
+            submitLastTo(lost.map { it.dataCentre }, jobs)
             val killedAtMs = System.currentTimeMillis()
             victim.child.kill()
             lost.forEach { owned ->
@@ -28,7 +28,7 @@
                     tasksIn(cluster.records(), owned.dataCentre).any { it.term > owned.term }
                 }
             }
-            val notSucceeded = jobs.awaitEnds(END_TIMEOUT_MS)
+            val failedJobs = jobs.awaitEnds(END_TIMEOUT_MS)
             val ends = load.finish()
             val records = cluster.records()
             val restartsMs = lost.associate { owned ->
@@ -37,24 +37,24 @@
             }
             println("kill: ${ends.size} requests, ${jobs.size} jobs, task starts after the kill $restartsMs ms")
             assertEquals(emptyList<Any>(), violationsOf(records, ends, jobs))
-            assertEquals(emptyList<Any>(), ends.filterNot { it.isRight }, cluster::logs)
-            assertEquals(emptyList<String>(), notSucceeded)
-            assertTrue(restartsMs.values.all { it <= TAKEOVER_BOUND_MS }) { "$restartsMs\n${cluster.logs()}" }
+            assertEquals(emptyList<Any>(), ends.filterNot { it.isCorrect }, cluster::logs)
+            assertEquals(emptyList<String>(), failedJobs)
+            assertTrue(restartsMs.values.all { it <= TAKEOVER_LIMIT_MS }) { "$restartsMs\n${cluster.logs()}" }
         }
         cluster.replace(victim)
         cluster.awaitServing()
     }
 
-    /** Guards against a former owner that goes on handing out work with the state it had before the pause. */
+    /** Guards against a former owner that keeps assigning work with the state from before the pause. */
     @Test
     @Order(2)
-    fun `a paused owner hands out nothing as a former owner after it resumes`() {
+    fun `a paused owner assigns no work in its former term after it resumes`() {
         val victim = checkNotNull(cluster.ownerOf("valley"))
         val lost = checkNotNull(victim.status()).owned
         val others = cluster.entries - victim
         val jobs = JobBatch("pause") { others }
         RequestLoad("pause") { others }.use { load ->
-            submitWithLastIn(lost.map { it.dataCentre }, jobs)
+            submitLastTo(lost.map { it.dataCentre }, jobs)
             val pausedAtMs = System.currentTimeMillis()
             victim.child.signal("STOP")
             val resumeAtMs = pausedAtMs + PAUSE_MS
@@ -62,7 +62,7 @@
             victim.child.signal("CONT")
             val resumedAtMs = System.currentTimeMillis()
             RequestLoad("resumed") { listOf(victim) }.use { resumedLoad ->
-                val notSucceeded = jobs.awaitEnds(END_TIMEOUT_MS)
+                val failedJobs = jobs.awaitEnds(END_TIMEOUT_MS)
                 val ends = load.finish() + resumedLoad.finish()
                 val records = cluster.records()
                 lost.forEach { owned ->
@@ -72,18 +72,18 @@
                     tasksIn(records, owned.dataCentre)
                         .filter { it.term <= owned.term && it.startedAtMs > resumedAtMs }
                 }
-                val failed = ends.filterNot { it.isRight }
+                val failed = ends.filterNot { it.isCorrect }
                 println("pause: ${ends.size} requests, ${failed.size} not answered, ${jobs.size} jobs")
                 assertEquals(emptyList<Any>(), violationsOf(records, ends, jobs), cluster::logs)
                 assertEquals(emptyList<Any>(), stale)
-                assertEquals(emptyList<String>(), notSucceeded)
+                assertEquals(emptyList<String>(), failedJobs)
                 assertEquals(emptyList<Any>(), failed.filter { it.entryId != victim.id }, cluster::logs)
             }
         }
     }
 
-    /** The data centres that lose their owner get their jobs last, so that some still wait when that happens. */
-    private fun submitWithLastIn(lost: List<String>, jobs: JobBatch) {
+    /** Submits to the data centres in [lost] last, so that some of their jobs still wait when the owner is lost. */
+    private fun submitLastTo(lost: List<String>, jobs: JobBatch) {
         jobs.submit(dataCentreNames - lost.toSet(), count = 4)
         jobs.submit(lost, count = 24)
     }
--- a/server/src/test/kotlin/dev/bronzeshore/server/processes/PlannedChangeProcessTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/processes/PlannedChangeProcessTest.kt
@@ -1,4 +1,4 @@
-/** Planned restarts, marks and configuration changes, with real processes. */
+/** Planned restarts, marks on VMs and configuration changes, with real processes. */
 package dev.bronzeshore.server.processes
 
 import dev.bronzeshore.core.ApplyAnswer
@@ -15,23 +15,23 @@
 import java.util.concurrent.CompletableFuture
 import java.util.concurrent.Executors
 
-private const val LEAVING_BOUND_MS = 3_000L
-private const val IN_FORCE_BOUND_MS = 6_000L
-private const val WATCH_MS = 3_000L
+private const val LEAVING_LIMIT_MS = 3_000L
+private const val IN_FORCE_LIMIT_MS = 6_000L
+private const val OBSERVATION_MS = 3_000L
 private const val STOP_TIMEOUT_MS = 60_000L
 private const val READY_TIMEOUT_MS = 40_000L
 private const val HTTP_CONFLICT = 409
 
-/** The balancer asks each second; a stopping process answers it for 2 s. */
-private const val BALANCER_MS = 1_200L
+/** The load balancer polls each second; a stopping process keeps responding to it for 2 s. */
+private const val LOAD_BALANCER_POLL_MS = 1_200L
 private const val UPLOAD_MS = 5_000L
 private const val HTTP_SERVICE_UNAVAILABLE = 503
 
 internal class PlannedChangeProcessTest : ClusterTest(size = 3) {
-    /** Guards against operators who overwrite each other's change without noticing. */
+    /** Guards against operators who overwrite each other's changes without noticing. */
     @Test
     @Order(1)
-    fun `one of three racing operators wins and the others are told both versions`() {
+    fun `one of three concurrent operators wins and the others get both versions`() {
         val expected = checkNotNull(cluster.entries.first().status()).configurationVersion
         val threads = Executors.newFixedThreadPool(cluster.entries.size)
         val replies = try {
@@ -52,25 +52,25 @@
         }
     }
 
-    /** Guards against processes that keep an old configuration or fall back to it. */
+    /** Guards against processes that keep an old configuration or revert to it. */
     @Test
     @Order(2)
-    fun `a change is in force in every process in time and never goes back`() {
+    fun `a change takes effect in every process in time and is never reverted`() {
         val expected = checkNotNull(cluster.entries.first().status()).configurationVersion
         val reply = cluster.entries.last().apply(request(expected, weight = 9))
         assertEquals(HTTP_OK, reply.status, reply.text)
         val version = WireJson.decodeFromString(ApplyAnswer.serializer(), reply.text).version
         val acceptedAtMs = System.currentTimeMillis()
-        awaitUntil("version $version is in force", IN_FORCE_BOUND_MS) { versions().all { it >= version } }
+        awaitUntil("version $version is in force", IN_FORCE_LIMIT_MS) { versions().all { it >= version } }
         println("configuration: in force everywhere after ${System.currentTimeMillis() - acceptedAtMs} ms")
-        val watchUntilMs = System.currentTimeMillis() + WATCH_MS
-        awaitUntil("no version goes back", WATCH_MS * 3) {
+        val observeUntilMs = System.currentTimeMillis() + OBSERVATION_MS
+        awaitUntil("no version goes back", OBSERVATION_MS * 3) {
             assertTrue(versions().all { it >= version }) { "${versions()}" }
-            System.currentTimeMillis() > watchUntilMs
+            System.currentTimeMillis() > observeUntilMs
         }
     }
 
-    /** Guards against an endpoint that gets new requests although its operators wait to take it away. */
+    /** Guards against an endpoint that gets new requests while its operators wait to remove it. */
     @Test
     @Order(3)
     fun `a leaving endpoint gets no new request after 3 s`() {
@@ -80,22 +80,22 @@
             val reply = cluster.entries.first().mark(leaving, VmMark.LEAVING)
             assertEquals(HTTP_OK, reply.status, reply.text)
             val markedAtMs = System.currentTimeMillis()
-            val watchUntilMs = markedAtMs + LEAVING_BOUND_MS + WATCH_MS
-            awaitUntil("the time to watch is over", WATCH_MS * 4) { System.currentTimeMillis() > watchUntilMs }
+            val observeUntilMs = markedAtMs + LEAVING_LIMIT_MS + OBSERVATION_MS
+            awaitUntil("the observation is over", OBSERVATION_MS * 4) { System.currentTimeMillis() > observeUntilMs }
             val ends = load.finish()
             val lastMs = startsOn(leaving).max() - markedAtMs
             println("leaving: last new request $lastMs ms after the mark, ${ends.size} requests")
-            assertTrue(lastMs <= LEAVING_BOUND_MS) { "$lastMs" }
+            assertTrue(lastMs <= LEAVING_LIMIT_MS) { "$lastMs" }
             assertEquals(emptyList<Any>(), violationsOf(cluster.records(), ends, jobs = null), cluster::logs)
-            assertEquals(emptyList<Any>(), ends.filterNot { it.isRight }, cluster::logs)
+            assertEquals(emptyList<Any>(), ends.filterNot { it.isCorrect }, cluster::logs)
         }
     }
 
-    /** Guards against a planned stop that interrupts requests or leaves a data centre without slots. */
+    /** Guards against a planned stop that interrupts requests or leaves a data centre without endpoint slots. */
     @Test
     @Order(4)
     fun `a rolling restart causes no error`() {
-        ReadyEntries(cluster).use { ready ->
+        ReadinessPoller(cluster).use { ready ->
             RequestLoad("rolling", ready::current).use { load ->
                 cluster.entries.toList().forEach { former ->
                     assertTrue(former.child.stop(STOP_TIMEOUT_MS), cluster::logs)
@@ -103,7 +103,7 @@
                     awaitUntil("${started.id} is ready again", READY_TIMEOUT_MS) { started in ready.current() }
                 }
                 val ends = load.finish()
-                val failed = ends.filterNot { it.isRight }
+                val failed = ends.filterNot { it.isCorrect }
                 println("rolling: ${ends.size} requests, ${failed.size} errors")
                 assertEquals(emptyList<Any>(), violationsOf(cluster.records(), ends, jobs = null), cluster::logs)
                 assertEquals(emptyList<Any>(), failed, cluster::logs)
@@ -111,23 +111,23 @@
         }
     }
 
-    /** Guards against ports that close together with the signal, while the balancer still sends requests. */
+    /** Guards against ports that close at the stop signal while the load balancer still sends requests. */
     @Test
     @Order(5)
-    fun `a planned stop answers a request whose body is still arriving`() {
+    fun `a planned stop completes a request whose body is still arriving`() {
         val entry = cluster.entries.last()
         SlowUpload(entry.settings.callers.port).use { upload ->
             upload.sendFirstHalf()
             val stopping = CompletableFuture.supplyAsync { entry.child.stop(STOP_TIMEOUT_MS) }
-            awaitUntil("the process says that it is not ready", WATCH_MS) {
+            awaitUntil("the process reports that it is not ready", OBSERVATION_MS) {
                 entry.readyStatus() == HTTP_SERVICE_UNAVAILABLE
             }
             val signalledAtMs = System.currentTimeMillis()
-            awaitUntil("the balancer has had time to notice", WATCH_MS) {
+            awaitUntil("the load balancer has had time to notice", OBSERVATION_MS) {
                 assertEquals(HTTP_SERVICE_UNAVAILABLE, entry.readyStatus(), cluster::logs)
-                System.currentTimeMillis() > signalledAtMs + BALANCER_MS
+                System.currentTimeMillis() > signalledAtMs + LOAD_BALANCER_POLL_MS
             }
-            awaitUntil("the upload is slower than that", UPLOAD_MS * 2) {
+            awaitUntil("the upload has taken longer than that", UPLOAD_MS * 2) {
                 System.currentTimeMillis() > signalledAtMs + UPLOAD_MS
             }
             assertArrayEquals(upload.body, upload.finish())
--- a/server/src/test/kotlin/dev/bronzeshore/server/processes/ProcessCluster.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/processes/ProcessCluster.kt
@@ -1,4 +1,4 @@
-/** The stand-ins and several bronzeshore processes, each in a JVM of its own, on free loopback ports. */
+/** The stand-ins and several bronzeshore processes, each in its own JVM, on free loopback ports. */
 package dev.bronzeshore.server.processes
 
 import dev.bronzeshore.core.ApplyRequest
@@ -19,23 +19,23 @@
 private const val LOOPBACK = "127.0.0.1"
 private const val START_TIMEOUT_MS = 40_000L
 
-/** Started on creation; [close] ends every process, also one that is stopped by a signal. */
+/** Starts on creation; [close] kills every process, also one that is paused by a signal. */
 internal class ProcessCluster(private val folder: Path, size: Int) : AutoCloseable {
     private val http = ClusterHttp()
     private val children = mutableListOf<ChildProcess>()
     private val addresses: StandInAddresses
     private var starts = 0
-    private var warmUps = 0
+    private var warmUpRequests = 0
 
-    /** In the order of their data centres; a restarted process takes the place of the former one. */
+    /** In the order of their data centres; a restarted process replaces the former one. */
     val entries: MutableList<EntryProcess>
 
     init {
         try {
             addresses = startPlatform()
             entries = settingsOf(size).mapTo(CopyOnWriteArrayList(), ::startEntry)
-            entries.forEach { entry -> awaitUntil("${entry.id} answers", START_TIMEOUT_MS) { entry.isAnswering() } }
-            applyLists()
+            entries.forEach { entry -> awaitUntil("${entry.id} responds", START_TIMEOUT_MS) { entry.isResponding() } }
+            applyConfiguration()
             awaitServing()
         } catch (failure: Throwable) {
             close()
@@ -81,25 +81,25 @@
         return EntryProcess(settings, child, http)
     }
 
-    private fun applyLists() {
+    private fun applyConfiguration() {
         val request = ApplyRequest(null, clusterPlans, clusterAllowances(), operator = "test")
-        awaitUntil("the lists are accepted", START_TIMEOUT_MS) { entries.first().apply(request).status == HTTP_OK }
+        awaitUntil("the plans are accepted", START_TIMEOUT_MS) { entries.first().apply(request).status == HTTP_OK }
     }
 
-    /** Every data centre has one owner, and every process has slots of all of them. */
+    /** Waits until every data centre has an owner and every process serves requests. */
     fun awaitServing() {
         awaitUntil("all processes are ready", START_TIMEOUT_MS) { entries.all { it.isReady() } }
         awaitUntil("each data centre has an owner", START_TIMEOUT_MS) { dataCentreNames.all { ownerOf(it) != null } }
         entries.forEach { entry ->
             awaitUntil("${entry.id} serves requests", START_TIMEOUT_MS) {
-                entry.request("warm-up-${warmUps++}").status == HTTP_OK
+                entry.request("warm-up-${warmUpRequests++}").status == HTTP_OK
             }
         }
     }
 
     fun ownerOf(dataCentre: String): EntryProcess? = entries.find { it.termOf(dataCentre) != null }
 
-    /** Starts a process with the settings of [former] in its place; does not wait until it is ready. */
+    /** Starts a process with the settings of [former] in its place, without waiting until it is ready. */
     fun replace(former: EntryProcess): EntryProcess {
         val started = startEntry(former.settings)
         entries[entries.indexOf(former)] = started
@@ -108,16 +108,16 @@
 
     fun setTableFaults(faults: Faults) {
         val body = StrictJson.encodeToString(Faults.serializer(), faults)
-        val answer = http.send(HttpCall("POST", "http://${addresses.table}/stand-in/faults", body.toByteArray()))
-        check(answer.status == HTTP_OK) { "The faults were not set: ${answer.text}" }
+        val response = http.send(HttpCall("POST", "http://${addresses.table}/stand-in/faults", body.toByteArray()))
+        check(response.status == HTTP_OK) { "The faults were not set: ${response.text}" }
     }
 
     fun records(): List<ServerRecords> = addresses.vms.map { vm ->
-        val answer = http.send(HttpCall("GET", "http://${vm.address}/stand-in/records"))
-        StrictJson.decodeFromString(ServerRecords.serializer(), answer.text)
+        val response = http.send(HttpCall("GET", "http://${vm.address}/stand-in/records"))
+        StrictJson.decodeFromString(ServerRecords.serializer(), response.text)
     }
 
-    /** Printed by tests that fail, since the folder is deleted. */
+    /** Last lines of all logs for messages of failed tests, because the folder with the logs is deleted. */
     fun logs(): String = children.joinToString("\n") { it.printed().lines().takeLast(LOG_LINES).joinToString("\n") }
 
     override fun close() = children.asReversed().forEach { it.kill() }
--- a/server/src/test/kotlin/dev/bronzeshore/server/processes/RawCaller.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/processes/RawHttpClient.kt
@@ -1,4 +1,4 @@
-/** A caller on one keep-alive connection that writes its next requests while it reads answers. */
+/** HTTP client on one keep-alive connection that writes further requests while it reads responses (pipelining). */
 package dev.bronzeshore.server.processes
 
 import dev.bronzeshore.standins.REQUEST_HEADER
@@ -8,7 +8,7 @@
 import java.net.Socket
 import java.util.concurrent.CompletableFuture
 
-/** One request; its answer must be its own body. */
+/** A request whose response must have the same body. */
 internal class RawRequest(val requestId: String, seed: Long, val lengthBytes: Long, val isChunked: Boolean) {
     val pattern = BodyPattern(seed)
 
@@ -28,12 +28,12 @@
     override fun toString() = "$requestId ($lengthBytes B, ${if (isChunked) "chunked" else "with length"})"
 }
 
-internal class RawCaller(port: Int) : AutoCloseable {
+internal class RawHttpClient(port: Int) : AutoCloseable {
     private val socket = Socket("127.0.0.1", port).apply { soTimeout = READ_TIMEOUT_MS }
     private val input = BufferedInputStream(socket.getInputStream(), BUFFER_BYTES)
     private val output = BufferedOutputStream(socket.getOutputStream(), BUFFER_BYTES)
 
-    /** Sends all [requests] without waiting for answers, and returns what was wrong with the answers. */
+    /** Sends all [requests] without waiting for responses and returns a description of each faulty response. */
     fun pipeline(requests: List<RawRequest>): List<String> {
         val writing = CompletableFuture<Unit>()
         val writer = Thread {
@@ -41,12 +41,12 @@
                 .fold({ writing.complete(Unit) }, { writing.completeExceptionally(it) })
         }
         writer.start()
-        val wrong = requests.mapNotNull { request ->
-            runCatching { faultIn(request) }.getOrElse { "broke off: $it" }?.let { "$request: $it" }
+        val faults = requests.mapNotNull { request ->
+            runCatching { findFault(request) }.getOrElse { "incomplete: $it" }?.let { "$request: $it" }
         }
-        if (wrong.isNotEmpty()) socket.close()
+        if (faults.isNotEmpty()) socket.close()
         writer.join()
-        return if (wrong.isEmpty() && writing.isCompletedExceptionally) listOf("writing failed") else wrong
+        return if (faults.isEmpty() && writing.isCompletedExceptionally) listOf("sending requests failed") else faults
     }
 
     private fun write(request: RawRequest) {
@@ -54,22 +54,22 @@
         request.pattern.write(output, request.lengthBytes, request.isChunked)
     }
 
-    private fun faultIn(request: RawRequest): String? {
+    private fun findFault(request: RawRequest): String? {
         val status = readLine()
         val headers = generateSequence { readLine().ifEmpty { null } }
             .associate { it.substringBefore(':').lowercase() to it.substringAfter(':').trim() }
-        val body = AnswerBody(request.pattern.expected())
+        val body = ResponseBody(request.pattern.expected())
         if (headers["transfer-encoding"] == "chunked") readChunks(body) else body.read(headers["content-length"])
         return when {
             !status.startsWith("HTTP/1.1 200") -> status
-            headers[REQUEST_HEADER.lowercase()] != request.requestId -> "the answer is for another request"
-            body.lengthBytes != request.lengthBytes -> "the answer has ${body.lengthBytes} B"
-            !body.isRight -> "the answer has other content"
+            headers[REQUEST_HEADER.lowercase()] != request.requestId -> "the response is for another request"
+            body.lengthBytes != request.lengthBytes -> "the response has ${body.lengthBytes} B"
+            !body.isCorrect -> "the response has other content"
             else -> null
         }
     }
 
-    private fun readChunks(body: AnswerBody) {
+    private fun readChunks(body: ResponseBody) {
         while (true) {
             val size = readLine().substringBefore(';').toLong(HEX)
             body.read(size)
@@ -90,19 +90,20 @@
 
     override fun close() = socket.close()
 
-    private inner class AnswerBody(private val expected: BodyPattern.Expected) {
+    private inner class ResponseBody(private val expected: BodyPattern.Expected) {
         private val buffer = ByteArray(BUFFER_BYTES)
         var lengthBytes = 0L
-        var isRight = true
+        var isCorrect = true
 
-        fun read(contentLength: String?) = read(checkNotNull(contentLength) { "The answer has no length." }.toLong())
+        fun read(contentLength: String?) =
+            read(checkNotNull(contentLength) { "No Content-Length in the response." }.toLong())
 
         fun read(countBytes: Long) {
             var leftBytes = countBytes
             while (leftBytes > 0) {
                 val readBytes = input.read(buffer, 0, minOf(leftBytes, BUFFER_BYTES.toLong()).toInt())
-                if (readBytes < 0) throw EOFException("The answer broke off.")
-                isRight = isRight && expected.accepts(buffer, readBytes)
+                if (readBytes < 0) throw EOFException("The connection was closed before the response was complete.")
+                isCorrect = isCorrect && expected.accepts(buffer, readBytes)
                 lengthBytes += readBytes
                 leftBytes -= readBytes
             }
--- a/server/src/test/kotlin/dev/bronzeshore/server/processes/ReadyEntries.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/processes/ReadinessPoller.kt
@@ -1,11 +1,11 @@
-/** The platform's balancer as callers see it. */
+/** Stand-in for the platform's load balancer. */
 package dev.bronzeshore.server.processes
 
 import java.util.concurrent.Executors
 import java.util.concurrent.TimeUnit
 
-/** Asks every process for its readiness several times a second; [current] holds those that were ready. */
-internal class ReadyEntries(private val cluster: ProcessCluster) : AutoCloseable {
+/** Polls the readiness of every process four times a second; [current] returns those that were ready. */
+internal class ReadinessPoller(private val cluster: ProcessCluster) : AutoCloseable {
     private val timer = Executors.newSingleThreadScheduledExecutor()
 
     @Volatile
@@ -15,7 +15,7 @@
         timer.scheduleWithFixedDelay(
             { ready = cluster.entries.toList().filter { it.isReady() } },
             0,
-            CHECK_EVERY_MS,
+            POLL_PERIOD_MS,
             TimeUnit.MILLISECONDS,
         )
     }
@@ -27,6 +27,6 @@
     }
 
     private companion object {
-        const val CHECK_EVERY_MS = 250L
+        const val POLL_PERIOD_MS = 250L
     }
 }
--- a/server/src/test/kotlin/dev/bronzeshore/server/processes/RequestLoad.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/processes/RequestLoad.kt
@@ -1,4 +1,4 @@
-/** A steady load of requests that may not run twice. */
+/** A constant load of non-idempotent requests. */
 package dev.bronzeshore.server.processes
 
 import dev.bronzeshore.core.Outcome
@@ -8,18 +8,18 @@
 import java.util.concurrent.TimeUnit
 import java.util.concurrent.atomic.AtomicInteger
 
-/** How one request ended; [isRight] if the whole answer to this request came back. */
+/** Result of one request; [isCorrect] if the complete response to this request arrived. */
 internal class RequestEnd(val requestId: String, val entryId: String, val reply: HttpReply) {
-    val isRight: Boolean get() = reply.status == HTTP_OK && reply.text == requestId
+    val isCorrect: Boolean get() = reply.status == HTTP_OK && reply.text == requestId
 
-    /** A complete answer with the content of another request. */
-    val isMixedUp: Boolean get() = reply.status == HTTP_OK && reply.text != requestId
-    val isToldNotRun: Boolean get() = reply.fault?.outcome == Outcome.NOT_RUN
+    /** True for a complete response with the content of another request. */
+    val isMisrouted: Boolean get() = reply.status == HTTP_OK && reply.text != requestId
+    val isReportedNotRun: Boolean get() = reply.fault?.outcome == Outcome.NOT_RUN
 
     override fun toString() = "$requestId through $entryId: ${reply.status} ${reply.text}"
 }
 
-/** Sends to the processes that [targets] returns, in turn, at a fixed rate with a bound on requests in flight. */
+/** Sends to the processes of [targets] in turn, at a fixed rate and with a limit on requests in flight. */
 internal class RequestLoad(private val name: String, private val targets: () -> List<EntryProcess>) : AutoCloseable {
     private val timer = Executors.newSingleThreadScheduledExecutor()
     private val inFlight = Semaphore(MAX_IN_FLIGHT)
@@ -29,7 +29,7 @@
     val ends: List<RequestEnd> get() = synchronized(finished) { finished.toList() }
 
     init {
-        timer.scheduleAtFixedRate(::sendNext, 0, EVERY_MS, TimeUnit.MILLISECONDS)
+        timer.scheduleAtFixedRate(::sendNext, 0, PERIOD_MS, TimeUnit.MILLISECONDS)
     }
 
     private fun sendNext() {
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Stops sending and waits for the answers of all requests. */
+    /** Stops sending and waits until all requests have ended. */
     fun finish(): List<RequestEnd> {
         close()
         awaitUntil("all requests of $name have ended", END_TIMEOUT_MS) { finished.size == sent.get() }
@@ -57,7 +57,7 @@
     }
 
     private companion object {
-        const val EVERY_MS = 10L
+        const val PERIOD_MS = 10L
         const val MAX_IN_FLIGHT = 16
         const val END_TIMEOUT_MS = 20_000L
     }
--- a/server/src/test/kotlin/dev/bronzeshore/server/processes/SlowUpload.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/processes/SlowUpload.kt
@@ -1,4 +1,4 @@
-/** A caller that sends the second half of its body only when it is told to. */
+/** An upload that sends the second half of its body only on [finish]. */
 package dev.bronzeshore.server.processes
 
 import dev.bronzeshore.standins.REQUEST_HEADER
@@ -23,13 +23,13 @@
         socket.getOutputStream().flush()
     }
 
-    /** Sends the rest and returns the bytes of the answer after its head. */
+    /** Sends the rest of the body and returns the body of the response. */
     fun finish(): ByteArray {
         socket.getOutputStream().write(body, BODY_BYTES / 2, BODY_BYTES / 2)
         socket.getOutputStream().flush()
-        val answer = socket.getInputStream().readAllBytes()
-        val headEnd = String(answer, Charsets.ISO_8859_1).indexOf("\r\n\r\n")
-        return answer.copyOfRange(headEnd + HEAD_END_BYTES, answer.size)
+        val response = socket.getInputStream().readAllBytes()
+        val headEnd = String(response, Charsets.ISO_8859_1).indexOf("\r\n\r\n")
+        return response.copyOfRange(headEnd + HEAD_END_BYTES, response.size)
     }
 
     override fun close() = socket.close()
--- a/server/src/test/kotlin/dev/bronzeshore/server/processes/StoreFaultProcessTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/processes/StoreFaultProcessTest.kt
@@ -1,4 +1,4 @@
-/** Outages of the table service and lost answers, with real processes. */
+/** Outages of the table service and lost responses, with real processes. */
 package dev.bronzeshore.server.processes
 
 import dev.bronzeshore.core.JobSubmission
@@ -15,17 +15,17 @@
 /** Four times the ownership lease. */
 private const val OUTAGE_MS = 12_000L
 
-/** Workers tell of ended tasks by heartbeats 2 s apart; a longer gap than two of them is an interruption. */
+/** Workers report ended tasks with heartbeats 2 s apart; a gap longer than two heartbeats is an interruption. */
 private const val LONGEST_START_GAP_MS = 5_000L
 private const val END_TIMEOUT_MS = 90_000L
 private const val DROPPED_SHARE = 0.05
 private const val DROP_SEED = 20_261L
 
 internal class StoreFaultProcessTest : ClusterTest(size = 3) {
-    /** Guards against owners that depend on the table service to go on, and against lost or repeated work after it. */
+    /** Guards against owners that stop placing work in an outage of the table service and against lost or repeated work. */
     @Test
     @Order(1)
-    fun `requests and placement go on through a store outage and everything ends`() {
+    fun `requests and placement continue through a store outage and all jobs end`() {
         val jobs = JobBatch("outage") { cluster.entries }
         RequestLoad("outage") { cluster.entries }.use { load ->
             jobs.submit(dataCentreNames, count = JOBS_FOR_OUTAGE)
@@ -37,7 +37,7 @@
             awaitUntil("the outage is over", OUTAGE_MS * 2) { System.currentTimeMillis() - downAtMs >= OUTAGE_MS }
             cluster.setTableFaults(Faults())
             val upAtMs = System.currentTimeMillis()
-            val notSucceeded = jobs.awaitEnds(END_TIMEOUT_MS)
+            val failedJobs = jobs.awaitEnds(END_TIMEOUT_MS)
             val ends = load.finish()
             val records = cluster.records()
             val gaps = dataCentreNames.associateWith { longestGapMs(startsIn(records, it), downAtMs, upAtMs) }
@@ -46,9 +46,9 @@
             }
             println("outage: ${ends.size} requests, starts $during, longest gaps $gaps ms, refusals $refusals")
             assertEquals(emptyList<Any>(), violationsOf(records, ends, jobs), cluster::logs)
-            assertEquals(emptyList<Any>(), ends.filterNot { it.isRight }, cluster::logs)
-            assertEquals(emptyList<String>(), notSucceeded)
-            // Without jobs left over, a gap in the starts would say nothing about the outage.
+            assertEquals(emptyList<Any>(), ends.filterNot { it.isCorrect }, cluster::logs)
+            assertEquals(emptyList<String>(), failedJobs)
+            // If no job were left after the outage, the gaps would only show that the queue ran empty.
             dataCentreNames.forEach { name ->
                 assertTrue(startsIn(records, name).last() > upAtMs, "no job left in $name")
             }
@@ -57,23 +57,23 @@
         }
     }
 
-    /** Guards against a lost answer being taken for a failed write: a job accepted twice, or one never run. */
+    /** Guards against a lost response that is treated as a failed write: a job accepted twice or never run. */
     @Test
     @Order(2)
-    fun `lost answers of the store cause no violation and no second job`() {
+    fun `lost responses of the store cause no violation and no second job`() {
         val jobs = JobBatch("dropped") { cluster.entries }
         RequestLoad("dropped") { cluster.entries }.use { load ->
             cluster.setTableFaults(Faults(dropAnswerShare = DROPPED_SHARE, dropSeed = DROP_SEED))
             jobs.submit(dataCentreNames, JOBS_WITH_DROPS)
-            val differing = jobs.repeatAll()
-            val notSucceeded = jobs.awaitEnds(END_TIMEOUT_MS)
+            val differing = jobs.resubmitAll()
+            val failedJobs = jobs.awaitEnds(END_TIMEOUT_MS)
             val ends = load.finish()
             cluster.setTableFaults(Faults())
-            val failed = ends.filterNot { it.isRight }
+            val failed = ends.filterNot { it.isCorrect }
             println("dropped: ${ends.size} requests, ${failed.size} not answered, ${jobs.size} jobs")
             assertEquals(emptyList<Any>(), violationsOf(cluster.records(), ends, jobs), cluster::logs)
             assertEquals(emptyList<String>(), differing)
-            assertEquals(emptyList<String>(), notSucceeded, cluster::logs)
+            assertEquals(emptyList<String>(), failedJobs, cluster::logs)
             assertEquals(emptyList<Any>(), failed, cluster::logs)
         }
     }
@@ -85,7 +85,7 @@
         (listOf(fromMs) + starts.filter { it in fromMs..untilMs } + untilMs).zipWithNext { a, b -> b - a }.max()
 
     private companion object {
-        /** Four run at a time and each takes a heartbeat of 2 s: enough for the outage after all are accepted. */
+        /** Four run at a time and each takes one heartbeat of 2 s, so that jobs remain until after the outage. */
         const val JOBS_FOR_OUTAGE = 72
         const val JOBS_WITH_DROPS = 10
     }
--- a/server/src/test/kotlin/dev/bronzeshore/server/processes/StreamingProcessTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/processes/StreamingProcessTest.kt
@@ -1,4 +1,4 @@
-/** Whole answers for bodies of all sizes, with real processes of small heaps. */
+/** Complete responses for bodies of all sizes, with real processes and small heaps. */
 package dev.bronzeshore.server.processes
 
 import dev.bronzeshore.standins.RecordJudge
@@ -12,31 +12,31 @@
 private const val CALLERS = 50
 private const val MIB = 1_048_576L
 
-/** Together four times the heap of the process. */
+/** The large bodies together are four times the heap of the process. */
 private const val LARGE_CALLERS = 8
 private const val LARGE_BYTES = 64 * MIB
 private const val PIPELINES = 8
 private const val PIPELINED_REQUESTS = 24
 
 internal class StreamingProcessTest : ClusterTest(size = 3) {
-    /** Guards against answers that are cut off or given to another caller, and against bodies kept in memory. */
+    /** Guards against responses that are cut off or sent to another caller and against bodies buffered in memory. */
     @Test
-    fun `each of 50 callers gets its own whole answers for bodies of all sizes`() {
+    fun `each of 50 callers gets its own complete responses for bodies of all sizes`() {
         val startedAtMs = System.currentTimeMillis()
-        val wrong = inParallel(CALLERS) { caller ->
+        val faults = inParallel(CALLERS) { caller ->
             val sizes = listOf(0L, 1L, MIB) + if (caller < LARGE_CALLERS) listOf(LARGE_BYTES) else emptyList()
-            RawCaller(port()).use { connection ->
-                sizes.flatMapIndexed { index, size -> bothFramings(caller, index, size) }
+            RawHttpClient(port()).use { connection ->
+                sizes.flatMapIndexed { index, size -> requestsOfSize(caller, index, size) }
                     .flatMap { connection.pipeline(listOf(it)) }
             }
         }
-        println("streaming: $CALLERS callers in ${System.currentTimeMillis() - startedAtMs} ms, wrong $wrong")
-        assertEquals(emptyList<String>(), wrong, cluster::logs)
-        assertSurvived()
+        println("streaming: $CALLERS callers in ${System.currentTimeMillis() - startedAtMs} ms, wrong $faults")
+        assertEquals(emptyList<String>(), faults, cluster::logs)
+        assertProcessIsHealthy()
     }
 
-    /** Large bodies alternate their framing between callers, which halves the bytes that the test moves. */
-    private fun bothFramings(caller: Int, index: Int, sizeBytes: Long): List<RawRequest> = listOf(false, true)
+    /** One request per framing; large bodies use one framing per caller, which halves the bytes that the test sends. */
+    private fun requestsOfSize(caller: Int, index: Int, sizeBytes: Long): List<RawRequest> = listOf(false, true)
         .filter { isChunked -> sizeBytes < LARGE_BYTES || isChunked == (caller % 2 == 0) }
         .map {
             RawRequest(
@@ -47,25 +47,25 @@
             )
         }
 
-    /** Guards against answers in another order than the requests of one connection. */
+    /** Guards against responses in another order than the requests of a connection. */
     @Test
-    fun `pipelined requests on one connection are answered whole and in order`() {
+    fun `pipelined requests on one connection get complete responses in order`() {
         val sizes = listOf(0L, 1L, 1_000L, 70_000L, MIB)
-        val wrong = inParallel(PIPELINES) { caller ->
+        val faults = inParallel(PIPELINES) { caller ->
             val requests = List(PIPELINED_REQUESTS) {
                 RawRequest("pipeline-$caller-$it", 1_000_000L + caller * 100L + it, sizes[it % sizes.size], it % 2 == 0)
             }
-            RawCaller(port()).use { it.pipeline(requests) }
+            RawHttpClient(port()).use { it.pipeline(requests) }
         }
-        println("pipelining: $PIPELINES connections of $PIPELINED_REQUESTS requests, wrong $wrong")
-        assertEquals(emptyList<String>(), wrong, cluster::logs)
-        assertSurvived()
+        println("pipelining: $PIPELINES connections of $PIPELINED_REQUESTS requests, wrong $faults")
+        assertEquals(emptyList<String>(), faults, cluster::logs)
+        assertProcessIsHealthy()
     }
 
-    /** All callers use one process, so that its heap has to bear them all. */
+    /** All callers use the same process, so that its heap is loaded by all of them. */
     private fun port(): Int = cluster.entries.first().settings.callers.port
 
-    private fun assertSurvived() {
+    private fun assertProcessIsHealthy() {
         val entry = cluster.entries.first()
         assertTrue(entry.child.isAlive, cluster::logs)
         assertTrue(entry.isReady(), cluster::logs)
--- /dev/null
+++ b/server/src/test/kotlin/dev/bronzeshore/server/processes/Violations.kt
@@ -0,0 +1,32 @@
+/** Checks of the stand-ins' records together with the responses to callers. */
+package dev.bronzeshore.server.processes
+
+import dev.bronzeshore.standins.RecordJudge
+import dev.bronzeshore.standins.RequestEnding
+import dev.bronzeshore.standins.ServerRecords
+import dev.bronzeshore.standins.TaskRecord
+
+/** Returns every violation: over-commit, work that ran twice, a wrong "not run" and responses to another request. */
+internal fun violationsOf(records: List<ServerRecords>, ends: List<RequestEnd>, jobs: JobBatch?): List<String> {
+    val sentRequestIds = ends.mapTo(HashSet()) { it.requestId }
+    val nonIdempotentJobIds = jobs?.nonIdempotentJobIds.orEmpty()
+    val judge = RecordJudge(
+        isIdempotentJob = { it !in nonIdempotentJobIds },
+        isIdempotentRequest = { it !in sentRequestIds },
+    )
+    val violations = judge.judge(records).map { "$it" }
+    val ranRequestIds = records.flatMap { it.requests }.filter { it.ending != RequestEnding.REFUSED_NO_SLOT }
+        .mapNotNullTo(HashSet()) { it.requestId }
+    val wronglyNotRun = ends.filter { it.isReportedNotRun && it.requestId in ranRequestIds }
+        .map { "ran but reported as not run: $it" }
+    val misrouted = ends.filter { it.isMisrouted }.map { "response to another request: $it" }
+    val neverRan = ends.filter { it.isCorrect && it.requestId !in ranRequestIds }.map { "answered but never run: $it" }
+    return violations + wronglyNotRun + misrouted + neverRan
+}
+
+/** Tasks that ran on the workers of [dataCentre]. */
+internal fun tasksIn(records: List<ServerRecords>, dataCentre: String): List<TaskRecord> =
+    records.flatMap { it.tasks }.filter { it.workerId.startsWith("worker-$dataCentre-") && it.refusal == null }
+
+/** Term of the owner that started a task; attempts are numbered from `term x 1,000,000`. */
+internal val TaskRecord.term: Long get() = task.attempt / 1_000_000
