--- a/server/src/test/kotlin/dev/bronzeshore/server/processes/StoreFaultProcessTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/processes/StoreFaultProcessTest.kt
@@ -22,7 +22,7 @@
 private const val DROP_SEED = 20_261L
 
 internal class StoreFaultProcessTest : ClusterTest(size = 3) {
-    /** Guards against owners that stop placing work in an outage of the table service and against lost or repeated work. */
+    /** Guards against owners that stop placing work in an outage of the store, and against lost or repeated work. */
     @Test
     @Order(1)
     fun `requests and placement continue through a store outage and all jobs end`() {
