--- a/server/src/main/kotlin/dev/bronzeshore/server/BronzeshoreProcess.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/BronzeshoreProcess.kt
@@ -67,7 +67,7 @@
     private val platformClient = createPlatformHttpClient()
     private val table = createTableApi(platformClient, settings.platform.tableUrl)
     private val self = Member(
-        // Unique per start: a restarted process does not remember the promises that it made before.
+        // Unique per start: a restarted process does not remember the deputy leases that it granted.
         processId = "${settings.processId}-${UUID.randomUUID().toString().take(START_ID_CHARACTERS)}",
         dataCentre = settings.dataCentre,
         region = settings.region,
@@ -106,7 +106,7 @@
         controlScope = controlScope,
         members = { directory.members },
         isGone = { vmInventory.isGone(it) },
-        callDeputy = { member, request -> gateway.call(member, PeerCalls.promise, request, PEER_TIMEOUT_MS) },
+        callDeputy = { member, request -> gateway.call(member, PeerCalls.deputyLease, request, PEER_TIMEOUT_MS) },
         kindOf = ::kindOf,
         listeners = JobListeners(
             onPartFailed = { workerId, jobId ->
@@ -251,7 +251,7 @@
 
     private suspend fun notifyNextOwner(message: HandOver) {
         val next = directory.members.find { it.processId == message.nextOwnerId } ?: return
-        gateway.call(next, PeerCalls.handOver, message, PEER_TIMEOUT_MS)
+        gateway.call(next, PeerCalls.handover, message, PEER_TIMEOUT_MS)
     }
 
     private companion object {
--- a/server/src/main/kotlin/dev/bronzeshore/server/OwnerService.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/OwnerService.kt
@@ -18,10 +18,10 @@
 import dev.bronzeshore.requests.Allotments
 
 internal class OwnerService(private val supervisors: DataCentres) {
-    fun promise(request: PromiseRequest): Either<Fault, Promise> =
+    fun deputyLease(request: PromiseRequest): Either<Fault, Promise> =
         supervisors.find(request.dataCentre).map { it.ownership.onPromiseRequest(request) }
 
-    suspend fun handOver(message: HandOver): Either<Fault, Acknowledged> = supervisors.find(message.dataCentre).map {
+    suspend fun handover(message: HandOver): Either<Fault, Acknowledged> = supervisors.find(message.dataCentre).map {
         it.ownership.onHandOver(message)
         Acknowledged()
     }
--- a/server/src/main/kotlin/dev/bronzeshore/server/PeerCalls.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/PeerCalls.kt
@@ -39,8 +39,8 @@
 internal data class Acknowledged(val done: Boolean = true)
 
 internal object PeerCalls {
-    val promise = CallType("promise", PromiseRequest.serializer(), Promise.serializer())
-    val handOver = CallType("hand-over", HandOver.serializer(), Acknowledged.serializer())
+    val deputyLease = CallType("promise", PromiseRequest.serializer(), Promise.serializer())
+    val handover = CallType("hand-over", HandOver.serializer(), Acknowledged.serializer())
     val configurationPush = CallType("configuration-push", Configuration.serializer(), Long.serializer())
     val configurationPull = CallType("configuration-pull", Acknowledged.serializer(), Configuration.serializer())
     val allotments = CallType("allotments", AllotmentRequest.serializer(), Allotments.serializer())
--- a/server/src/main/kotlin/dev/bronzeshore/server/PeerHandlers.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/PeerHandlers.kt
@@ -19,8 +19,8 @@
     fun <Q, A> onControl(type: CallType<Q, A>, handle: suspend (Q) -> Either<Fault, A>): CallHandler =
         handlerOf(type) { request -> withContext(control) { handle(request) } }
     return listOf(
-        onControl(PeerCalls.promise) { owner.promise(it) },
-        onControl(PeerCalls.handOver) { owner.handOver(it) },
+        onControl(PeerCalls.deputyLease) { owner.deputyLease(it) },
+        onControl(PeerCalls.handover) { owner.handover(it) },
         onControl(PeerCalls.allotments) { owner.allot(it) },
         onControl(PeerCalls.jobSubmit) { owner.submit(it) },
         onControl(PeerCalls.jobQuery) { owner.status(it) },
