--- a/server/src/main/kotlin/dev/bronzeshore/server/DataCentreViews.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/DataCentreViews.kt
@@ -7,7 +7,7 @@
 import dev.bronzeshore.core.VmState
 import dev.bronzeshore.jobs.WorkerCandidate
 
-/** [vms] already include the operators' marks; workers for which [isQuarantined] holds get no new work. */
+/** [vms] already include the operators' marks; [isQuarantined] excludes workers that fail the parts they start. */
 internal fun viewsByDataCentre(
     vms: List<Vm>,
     configuration: Configuration,
--- a/server/src/test/kotlin/dev/bronzeshore/server/processes/PlannedChangeProcessTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/processes/PlannedChangeProcessTest.kt
@@ -82,12 +82,12 @@
             val markedAtMs = System.currentTimeMillis()
             val observeUntilMs = markedAtMs + LEAVING_LIMIT_MS + OBSERVATION_MS
             awaitUntil("the observation is over", OBSERVATION_MS * 4) { System.currentTimeMillis() > observeUntilMs }
-            val ends = load.finish()
+            val results = load.finish()
             val lastMs = startsOn(leaving).max() - markedAtMs
-            println("leaving: last new request $lastMs ms after the mark, ${ends.size} requests")
+            println("leaving: last new request $lastMs ms after the mark, ${results.size} requests")
             assertTrue(lastMs <= LEAVING_LIMIT_MS) { "$lastMs" }
-            assertEquals(emptyList<Any>(), violationsOf(cluster.records(), ends, jobs = null), cluster::logs)
-            assertEquals(emptyList<Any>(), ends.filterNot { it.isCorrect }, cluster::logs)
+            assertEquals(emptyList<Any>(), violationsOf(cluster.records(), results, jobs = null), cluster::logs)
+            assertEquals(emptyList<Any>(), results.filterNot { it.isCorrect }, cluster::logs)
         }
     }
 
@@ -102,10 +102,10 @@
                     val started = cluster.replace(former)
                     awaitUntil("${started.id} is ready again", READY_TIMEOUT_MS) { started in ready.current() }
                 }
-                val ends = load.finish()
-                val failed = ends.filterNot { it.isCorrect }
-                println("rolling: ${ends.size} requests, ${failed.size} errors")
-                assertEquals(emptyList<Any>(), violationsOf(cluster.records(), ends, jobs = null), cluster::logs)
+                val results = load.finish()
+                val failed = results.filterNot { it.isCorrect }
+                println("rolling: ${results.size} requests, ${failed.size} errors")
+                assertEquals(emptyList<Any>(), violationsOf(cluster.records(), results, jobs = null), cluster::logs)
                 assertEquals(emptyList<Any>(), failed, cluster::logs)
             }
         }
--- a/server/src/test/kotlin/dev/bronzeshore/server/processes/RequestLoad.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/processes/RequestLoad.kt
@@ -9,7 +9,7 @@
 import java.util.concurrent.atomic.AtomicInteger
 
 /** Result of one request; [isCorrect] if the complete response to this request arrived. */
-internal class RequestEnd(val requestId: String, val entryId: String, val reply: HttpReply) {
+internal class RequestResult(val requestId: String, val entryId: String, val reply: HttpReply) {
     val isCorrect: Boolean get() = reply.status == HTTP_OK && reply.text == requestId
 
     /** True for a complete response with the content of another request. */
@@ -24,9 +24,9 @@
     private val timer = Executors.newSingleThreadScheduledExecutor()
     private val inFlight = Semaphore(MAX_IN_FLIGHT)
     private val sent = AtomicInteger()
-    private val finished: MutableList<RequestEnd> = Collections.synchronizedList(mutableListOf())
+    private val finished: MutableList<RequestResult> = Collections.synchronizedList(mutableListOf())
 
-    val ends: List<RequestEnd> get() = synchronized(finished) { finished.toList() }
+    val results: List<RequestResult> get() = synchronized(finished) { finished.toList() }
 
     init {
         timer.scheduleAtFixedRate(::sendNext, 0, PERIOD_MS, TimeUnit.MILLISECONDS)
@@ -39,16 +39,16 @@
         val entry = ready[number % ready.size]
         val requestId = "$name-$number"
         entry.requestAsync(requestId).whenComplete { reply, failure ->
-            finished += RequestEnd(requestId, entry.id, reply ?: HttpReply(0, "$failure"))
+            finished += RequestResult(requestId, entry.id, reply ?: HttpReply(0, "$failure"))
             inFlight.release()
         }
     }
 
     /** Stops sending and waits until all requests have ended. */
-    fun finish(): List<RequestEnd> {
+    fun finish(): List<RequestResult> {
         close()
         awaitUntil("all requests of $name have ended", END_TIMEOUT_MS) { finished.size == sent.get() }
-        return ends
+        return results
     }
 
     override fun close() {
--- a/server/src/test/kotlin/dev/bronzeshore/server/processes/StoreFaultProcessTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/processes/StoreFaultProcessTest.kt
@@ -38,15 +38,15 @@
             cluster.setTableFaults(Faults())
             val upAtMs = System.currentTimeMillis()
             val failedJobs = jobs.awaitEnds(END_TIMEOUT_MS)
-            val ends = load.finish()
+            val results = load.finish()
             val records = cluster.records()
             val gaps = dataCentreNames.associateWith { longestGapMs(startsIn(records, it), downAtMs, upAtMs) }
             val during = dataCentreNames.associateWith { name ->
                 startsIn(records, name).count { it in downAtMs..upAtMs }
             }
-            println("outage: ${ends.size} requests, starts $during, longest gaps $gaps ms, refusals $refusals")
-            assertEquals(emptyList<Any>(), violationsOf(records, ends, jobs), cluster::logs)
-            assertEquals(emptyList<Any>(), ends.filterNot { it.isCorrect }, cluster::logs)
+            println("outage: ${results.size} requests, starts $during, longest gaps $gaps ms, refusals $refusals")
+            assertEquals(emptyList<Any>(), violationsOf(records, results, jobs), cluster::logs)
+            assertEquals(emptyList<Any>(), results.filterNot { it.isCorrect }, cluster::logs)
             assertEquals(emptyList<String>(), failedJobs)
             // If no job were left after the outage, the gaps would only show that the queue ran empty.
             dataCentreNames.forEach { name ->
@@ -67,11 +67,11 @@
             jobs.submit(dataCentreNames, JOBS_WITH_DROPS)
             val differing = jobs.resubmitAll()
             val failedJobs = jobs.awaitEnds(END_TIMEOUT_MS)
-            val ends = load.finish()
+            val results = load.finish()
             cluster.setTableFaults(Faults())
-            val failed = ends.filterNot { it.isCorrect }
-            println("dropped: ${ends.size} requests, ${failed.size} not answered, ${jobs.size} jobs")
-            assertEquals(emptyList<Any>(), violationsOf(cluster.records(), ends, jobs), cluster::logs)
+            val failed = results.filterNot { it.isCorrect }
+            println("dropped: ${results.size} requests, ${failed.size} not answered, ${jobs.size} jobs")
+            assertEquals(emptyList<Any>(), violationsOf(cluster.records(), results, jobs), cluster::logs)
             assertEquals(emptyList<String>(), differing)
             assertEquals(emptyList<String>(), failedJobs, cluster::logs)
             assertEquals(emptyList<Any>(), failed, cluster::logs)
--- a/server/src/test/kotlin/dev/bronzeshore/server/processes/Violations.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/processes/Violations.kt
@@ -7,21 +7,21 @@
 import dev.bronzeshore.standins.TaskRecord
 
 /** Returns every violation: over-commit, work that ran twice, a wrong "not run" and responses to another request. */
-internal fun violationsOf(records: List<ServerRecords>, ends: List<RequestEnd>, jobs: JobBatch?): List<String> {
-    val sentRequestIds = ends.mapTo(HashSet()) { it.requestId }
+internal fun violationsOf(records: List<ServerRecords>, results: List<RequestResult>, jobs: JobBatch?): List<String> {
+    val sentRequestIds = results.mapTo(HashSet()) { it.requestId }
     val nonIdempotentJobIds = jobs?.nonIdempotentJobIds.orEmpty()
     val judge = RecordJudge(
         isIdempotentJob = { it !in nonIdempotentJobIds },
         isIdempotentRequest = { it !in sentRequestIds },
     )
     val violations = judge.judge(records).map { "$it" }
-    val ranRequestIds = records.flatMap { it.requests }.filter { it.ending != RequestEnding.REFUSED_NO_SLOT }
+    val executedIds = records.flatMap { it.requests }.filter { it.ending != RequestEnding.REFUSED_NO_SLOT }
         .mapNotNullTo(HashSet()) { it.requestId }
-    val wronglyNotRun = ends.filter { it.isReportedNotRun && it.requestId in ranRequestIds }
+    val wronglyNotRun = results.filter { it.isReportedNotRun && it.requestId in executedIds }
         .map { "ran but reported as not run: $it" }
-    val misrouted = ends.filter { it.isMisrouted }.map { "response to another request: $it" }
-    val neverRan = ends.filter { it.isCorrect && it.requestId !in ranRequestIds }.map { "answered but never run: $it" }
-    return violations + wronglyNotRun + misrouted + neverRan
+    val misrouted = results.filter { it.isMisrouted }.map { "response to another request: $it" }
+    val neverRun = results.filter { it.isCorrect && it.requestId !in executedIds }.map { "answered but never run: $it" }
+    return violations + wronglyNotRun + misrouted + neverRun
 }
 
 /** Tasks that ran on the workers of [dataCentre]. */
