--- a/server/src/main/kotlin/dev/bronzeshore/server/OwnerService.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/OwnerService.kt
@@ -1,4 +1,4 @@
-/** Answers calls about the data centres that this process owns; all on the control thread. */
+/** Handles calls about the data centres that this process owns; used on the control thread only. */
 package dev.bronzeshore.server
 
 import arrow.core.Either
@@ -11,28 +11,27 @@
 import dev.bronzeshore.core.PartLocation
 import dev.bronzeshore.core.ResultCode
 import dev.bronzeshore.jobs.JobStatus
-import dev.bronzeshore.ownership.DeputyLeaseRequest
-import dev.bronzeshore.ownership.DeputyLeaseResponse
 import dev.bronzeshore.ownership.OwnershipHandover
+import dev.bronzeshore.ownership.DeputyLeaseResponse
+import dev.bronzeshore.ownership.DeputyLeaseRequest
 import dev.bronzeshore.requests.AllotmentRequest
 import dev.bronzeshore.requests.Allotments
 
 internal class OwnerService(private val supervisors: DataCentres) {
-    fun promise(request: DeputyLeaseRequest): Either<Fault, DeputyLeaseResponse> =
+    fun deputyLease(request: DeputyLeaseRequest): Either<Fault, DeputyLeaseResponse> =
         supervisors.find(request.dataCentre).map { it.ownership.onDeputyLeaseRequest(request) }
 
-    suspend fun handOver(message: OwnershipHandover): Either<Fault, Acknowledged> =
-        supervisors.find(message.dataCentre).map {
-            it.ownership.onHandover(message)
-            Acknowledged()
-        }
+    suspend fun handover(message: OwnershipHandover): Either<Fault, Acknowledged> = supervisors.find(message.dataCentre).map {
+        it.ownership.onHandover(message)
+        Acknowledged()
+    }
 
     fun allot(request: AllotmentRequest): Either<Fault, Allotments> =
         supervisors.find(request.dataCentre).flatMap { it.allocator }.map { it.allocate(request) }
 
-    suspend fun submit(forward: JobForward): Either<Fault, JobRecord> =
-        supervisors.find(forward.dataCentre).flatMap { it.jobs }
-            .flatMap { it.submit(forward.plan, forward.idempotencyKey, forward.submission) }
+    suspend fun submit(forwarded: ForwardedSubmission): Either<Fault, JobRecord> =
+        supervisors.find(forwarded.dataCentre).flatMap { it.jobs }
+            .flatMap { it.submit(forwarded.plan, forwarded.idempotencyKey, forwarded.submission) }
 
     fun status(query: JobQuery): Either<Fault, JobView> = supervisors.find(query.dataCentre).flatMap { it.jobs }
         .flatMap { jobs -> jobs.status(query.jobId)?.toView()?.right() ?: notOpen(query).left() }
