--- a/server/src/main/kotlin/dev/bronzeshore/server/BronzeshoreProcess.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/BronzeshoreProcess.kt
@@ -11,9 +11,9 @@
 import dev.bronzeshore.core.ProcessStatus
 import dev.bronzeshore.core.WorkKind
 import dev.bronzeshore.jobs.JobCallbacks
-import dev.bronzeshore.ownership.OwnershipHandover
 import dev.bronzeshore.ownership.Member
 import dev.bronzeshore.ownership.MemberDirectory
+import dev.bronzeshore.ownership.OwnershipHandover
 import dev.bronzeshore.ownership.PROCESS_ROW_PERIOD_MS
 import dev.bronzeshore.peering.PeerClient
 import dev.bronzeshore.peering.PeerServer
--- a/server/src/main/kotlin/dev/bronzeshore/server/DataCentreSupervisor.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/DataCentreSupervisor.kt
@@ -21,13 +21,13 @@
 import dev.bronzeshore.jobs.OwnerAuthority
 import dev.bronzeshore.jobs.WorkerCandidate
 import dev.bronzeshore.ownership.DataCentreOwnership
-import dev.bronzeshore.ownership.OwnershipGained
-import dev.bronzeshore.ownership.Member
-import dev.bronzeshore.ownership.DeputyLeaseResponse
 import dev.bronzeshore.ownership.DeputyLeaseRequest
+import dev.bronzeshore.ownership.DeputyLeaseResponse
+import dev.bronzeshore.ownership.Member
+import dev.bronzeshore.ownership.OwnershipGained
 import dev.bronzeshore.placement.PlacementEngine
-import dev.bronzeshore.requests.SlotAllocator
 import dev.bronzeshore.requests.EndpointSlots
+import dev.bronzeshore.requests.SlotAllocator
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.Job
 import kotlinx.coroutines.SupervisorJob
--- a/server/src/main/kotlin/dev/bronzeshore/server/OwnerService.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/OwnerService.kt
@@ -11,9 +11,9 @@
 import dev.bronzeshore.core.PartLocation
 import dev.bronzeshore.core.ResultCode
 import dev.bronzeshore.jobs.JobStatus
-import dev.bronzeshore.ownership.OwnershipHandover
-import dev.bronzeshore.ownership.DeputyLeaseResponse
 import dev.bronzeshore.ownership.DeputyLeaseRequest
+import dev.bronzeshore.ownership.DeputyLeaseResponse
+import dev.bronzeshore.ownership.OwnershipHandover
 import dev.bronzeshore.requests.AllotmentRequest
 import dev.bronzeshore.requests.Allotments
 
@@ -21,10 +21,11 @@
     fun deputyLease(request: DeputyLeaseRequest): Either<Fault, DeputyLeaseResponse> =
         supervisors.find(request.dataCentre).map { it.ownership.onDeputyLeaseRequest(request) }
 
-    suspend fun handover(message: OwnershipHandover): Either<Fault, Acknowledged> = supervisors.find(message.dataCentre).map {
-        it.ownership.onHandover(message)
-        Acknowledged()
-    }
+    suspend fun handover(message: OwnershipHandover): Either<Fault, Acknowledged> =
+        supervisors.find(message.dataCentre).map {
+            it.ownership.onHandover(message)
+            Acknowledged()
+        }
 
     fun allot(request: AllotmentRequest): Either<Fault, Allotments> =
         supervisors.find(request.dataCentre).flatMap { it.allocator }.map { it.allocate(request) }
--- a/server/src/main/kotlin/dev/bronzeshore/server/PeerCalls.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/PeerCalls.kt
@@ -5,9 +5,9 @@
 import dev.bronzeshore.core.JobRecord
 import dev.bronzeshore.core.JobSubmission
 import dev.bronzeshore.core.JobView
-import dev.bronzeshore.ownership.OwnershipHandover
-import dev.bronzeshore.ownership.DeputyLeaseResponse
 import dev.bronzeshore.ownership.DeputyLeaseRequest
+import dev.bronzeshore.ownership.DeputyLeaseResponse
+import dev.bronzeshore.ownership.OwnershipHandover
 import dev.bronzeshore.peering.CallType
 import dev.bronzeshore.requests.AllotmentRequest
 import dev.bronzeshore.requests.Allotments
--- a/server/src/main/kotlin/dev/bronzeshore/server/RequestRoutes.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/RequestRoutes.kt
@@ -8,9 +8,9 @@
 import dev.bronzeshore.core.Fault
 import dev.bronzeshore.core.Plan
 import dev.bronzeshore.core.ResultCode
-import dev.bronzeshore.requests.ResponseHead
 import dev.bronzeshore.requests.HeaderLine
 import dev.bronzeshore.requests.IncomingRequest
+import dev.bronzeshore.requests.ResponseHead
 import dev.bronzeshore.requests.RouteReport
 import io.ktor.http.ContentType
 import io.ktor.http.Headers
--- a/server/src/main/kotlin/dev/bronzeshore/server/VmInventory.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/VmInventory.kt
@@ -9,8 +9,8 @@
 import dev.bronzeshore.core.VmRole
 import dev.bronzeshore.core.VmState
 import dev.bronzeshore.core.VmStatus
-import dev.bronzeshore.membership.MemberVm
 import dev.bronzeshore.membership.EffectiveVmState
+import dev.bronzeshore.membership.MemberVm
 import dev.bronzeshore.membership.Quarantine
 import dev.bronzeshore.membership.VmView
 import dev.bronzeshore.platform.VmListApi
