--- a/membership/src/main/kotlin/dev/bronzeshore/membership/MemberVm.kt
+++ b/membership/src/main/kotlin/dev/bronzeshore/membership/MemberVm.kt
@@ -5,7 +5,7 @@
 import dev.bronzeshore.core.VmMark
 
 /** Whether a VM is given work. */
-public enum class Presence {
+public enum class EffectiveVmState {
     /** Takes new work. */
     LIVE,
 
@@ -23,10 +23,10 @@
  */
 public data class MemberVm(
     public val vm: Vm,
-    public val presence: Presence,
+    public val effectiveState: EffectiveVmState,
     public val mark: VmMark? = null,
     public val keptUntilMs: Long? = null,
 ) {
     /** True if the VM may be given new work. */
-    public val accepting: Boolean get() = presence == Presence.LIVE
+    public val accepting: Boolean get() = effectiveState == EffectiveVmState.LIVE
 }
--- a/membership/src/main/kotlin/dev/bronzeshore/membership/Quarantine.kt
+++ b/membership/src/main/kotlin/dev/bronzeshore/membership/Quarantine.kt
@@ -82,7 +82,7 @@
     public fun quarantined(): List<QuarantinedWorker> = entries.keys.toList().mapNotNull(::current)
 
     /** Lets workers in that had to wait for room; called from time to time, for example with each heartbeat round. */
-    public fun review() {
+    public fun quarantinePending() {
         quarantined()
         if (entries.size < maxQuarantined) {
             workers.filter { it !in entries }.forEach(::enterIfGuilty)
--- a/membership/src/main/kotlin/dev/bronzeshore/membership/VmView.kt
+++ b/membership/src/main/kotlin/dev/bronzeshore/membership/VmView.kt
@@ -112,17 +112,17 @@
 
     private fun member(entry: KnownVm): MemberVm {
         val mark = marks[entry.vm.id]
-        val presence =
+        val effectiveState =
             when {
-                mark == VmMark.GONE -> Presence.GONE
-                mark == VmMark.LEAVING -> Presence.LEAVING
-                entry.listed && entry.vm.state == VmState.LEAVING -> Presence.LEAVING
-                entry.listed || isJoining(entry) -> Presence.LIVE
-                else -> Presence.LEAVING
+                mark == VmMark.GONE -> EffectiveVmState.GONE
+                mark == VmMark.LEAVING -> EffectiveVmState.LEAVING
+                entry.listed && entry.vm.state == VmState.LEAVING -> EffectiveVmState.LEAVING
+                entry.listed || isJoining(entry) -> EffectiveVmState.LIVE
+                else -> EffectiveVmState.LEAVING
             }
-        val state = if (presence == Presence.LIVE) VmState.LIVE else VmState.LEAVING
+        val state = if (effectiveState == EffectiveVmState.LIVE) VmState.LIVE else VmState.LEAVING
         val keptUntilMs = entry.keptUntilMs.takeUnless { entry.listed || isJoining(entry) }
-        return MemberVm(entry.vm.copy(state = state), presence, mark, keptUntilMs)
+        return MemberVm(entry.vm.copy(state = state), effectiveState, mark, keptUntilMs)
     }
 
     private fun isJoining(entry: KnownVm): Boolean =
--- a/membership/src/test/kotlin/dev/bronzeshore/membership/QuarantineTest.kt
+++ b/membership/src/test/kotlin/dev/bronzeshore/membership/QuarantineTest.kt
@@ -48,7 +48,7 @@
             for (id in ids) {
                 (1..5).forEach { quarantine.recordFailure(id, "$id-job$it") }
             }
-            quarantine.review()
+            quarantine.quarantinePending()
             assertEquals(most, quarantine.quarantined().size, "$workers workers")
             assertEquals(workers - most, ids.count(quarantine::accepts))
         }
@@ -143,7 +143,7 @@
                 fail("w3", "g", "h", "i")
                 assertTrue(quarantine.accepts("w3"))
                 fail("w9", "a")
-                quarantine.review()
+                quarantine.quarantinePending()
             },
             Case("a worker that left and came back starts anew", "") {
                 quarantinedW1()
--- a/membership/src/test/kotlin/dev/bronzeshore/membership/VmViewTest.kt
+++ b/membership/src/test/kotlin/dev/bronzeshore/membership/VmViewTest.kt
@@ -35,7 +35,7 @@
     internal fun `list and marks are merged`(case: Case) {
         val steps = Steps().apply(case.steps)
         val shown = steps.view.members().map {
-            "${it.vm.id}=${it.presence}${it.keptUntilMs?.let { at -> "@$at" } ?: ""}"
+            "${it.vm.id}=${it.effectiveState}${it.keptUntilMs?.let { at -> "@$at" } ?: ""}"
         }
         val awaited = steps.view.awaited().map { "$it=awaited" }
         assertEquals(case.expected, (shown + awaited).joinToString(" "))
--- a/ownership/src/main/kotlin/dev/bronzeshore/ownership/DataCentreOwnership.kt
+++ b/ownership/src/main/kotlin/dev/bronzeshore/ownership/DataCentreOwnership.kt
@@ -23,10 +23,10 @@
     private val self: Member,
     private val clock: ClockMs,
     private val table: TableApi,
-    private val callDeputy: suspend (deputy: Member, request: PromiseRequest) -> Either<Fault, Promise>,
+    private val callDeputy: suspend (deputy: Member, request: DeputyLeaseRequest) -> Either<Fault, DeputyLeaseResponse>,
     members: () -> List<Member>,
     isGone: (processId: String) -> Boolean = { false },
-    private val onGained: (Gained) -> Unit = {},
+    private val onGained: (OwnershipGained) -> Unit = {},
     private val onLost: (term: Long) -> Unit = {},
 ) {
     private val machine =
@@ -52,7 +52,7 @@
     public fun mayAct(): Boolean = machine.mayAct(clock())
 
     /**
-     * Renews or takes over ownership; called every [RENEW_EVERY_MS] or at [nextTickAtMs].
+     * Renews or takes over ownership; called every [RENEWAL_PERIOD_MS] or at [nextTickAtMs].
      *
      * The table and the deputy are called concurrently, so a slow table does not delay a promise.
      */
@@ -65,10 +65,10 @@
         machine.evaluate(clock())
     }
 
-    public fun onPromiseRequest(request: PromiseRequest): Promise = machine.onPromiseRequest(request, clock())
+    public fun onDeputyLeaseRequest(request: DeputyLeaseRequest): DeputyLeaseResponse = machine.onDeputyLeaseRequest(request, clock())
 
     /** Reads the row at once when it may name this process as the next owner. */
-    public suspend fun onHandOver(message: HandOver) {
+    public suspend fun onHandover(message: OwnershipHandover) {
         if (message.nextOwnerId == self.processId) tick()
     }
 
@@ -78,12 +78,12 @@
      * Returns the message for the next owner, or null when there was nothing to hand over, no deputy answers or the
      * table does not; the deputy then takes over after the lease.
      */
-    public suspend fun handOver(): HandOver? {
+    public suspend fun handOver(): OwnershipHandover? {
         machine.stop(clock())
         repeat(HAND_OVER_ATTEMPTS) {
             tableCalls.withLock { tableStep { machine.handOverStep(clock()) } }
             val row = machine.row ?: return null
-            if (row.ownerId != self.processId) return HandOver(dataCentre, row.term, row.ownerId)
+            if (row.ownerId != self.processId) return OwnershipHandover(dataCentre, row.term, row.ownerId)
             if (row.deputyId == null) return null
         }
         return null
@@ -119,7 +119,7 @@
         }
     }
 
-    private fun gained(gained: Gained) {
+    private fun gained(gained: OwnershipGained) {
         Logger.info("ownership: {} owns {} in term {}", self.processId, dataCentre, gained.term)
         onGained(gained)
     }
--- a/ownership/src/main/kotlin/dev/bronzeshore/ownership/HeldPromises.kt
+++ b/ownership/src/main/kotlin/dev/bronzeshore/ownership/HeldPromises.kt
@@ -19,7 +19,7 @@
 
     fun untilMs(processId: String?): Long = untilMs[processId] ?: 0
 
-    fun onGranted(promise: Promise, nowMs: Long) {
+    fun onGranted(promise: DeputyLeaseResponse, nowMs: Long) {
         untilMs.merge(promise.processId, promise.untilMs, ::maxOf)
         lastGrantMs[promise.processId] = nowMs
     }
--- a/ownership/src/main/kotlin/dev/bronzeshore/ownership/MemberDirectory.kt
+++ b/ownership/src/main/kotlin/dev/bronzeshore/ownership/MemberDirectory.kt
@@ -14,7 +14,7 @@
 import kotlinx.serialization.Serializable
 
 /** Time between two writes of a process row. */
-public const val PROCESS_ROW_EVERY_MS: Long = 2_000
+public const val PROCESS_ROW_PERIOD_MS: Long = 2_000
 
 /** A process row counts this long after a write: long enough for two writes to fail. */
 public const val PROCESS_ROW_LIFETIME_MS: Long = 7_000
@@ -36,7 +36,7 @@
     public val members: List<Member>
         get() = listOf(self) + others
 
-    /** Writes the own row; called every [PROCESS_ROW_EVERY_MS]. */
+    /** Writes the own row; called every [PROCESS_ROW_PERIOD_MS]. */
     public suspend fun announce(): Either<Fault, Unit> {
         val row = ProcessRow(self, clock() + PROCESS_ROW_LIFETIME_MS)
         val put = Put(PROCESS_PREFIX + self.processId, WireJson.encodeToString(ProcessRow.serializer(), row))
--- a/ownership/src/main/kotlin/dev/bronzeshore/ownership/OwnershipMachine.kt
+++ b/ownership/src/main/kotlin/dev/bronzeshore/ownership/OwnershipMachine.kt
@@ -8,10 +8,10 @@
 import dev.bronzeshore.core.WriteResult
 
 /** A promise request and the process that it goes to. */
-internal data class DeputyCall(val deputy: Member, val request: PromiseRequest)
+internal data class DeputyCall(val deputy: Member, val request: DeputyLeaseRequest)
 
 /** Called when this process gains or loses ownership. */
-internal class OwnershipCallbacks(val onGained: (Gained) -> Unit, val onLost: (term: Long) -> Unit)
+internal class OwnershipCallbacks(val onGained: (OwnershipGained) -> Unit, val onLost: (term: Long) -> Unit)
 
 /** Applies the rules of section 4.1; the caller carries out the table steps and the deputy calls. */
 internal class OwnershipMachine(
@@ -68,7 +68,7 @@
         val mayGain = term != null && (term > lastLostTerm || !tableAnswers)
         if (acts && heldTerm == null && mayGain) {
             heldTerm = term
-            callbacks.onGained(Gained(term, maxOf(row?.effectsUntilMs ?: 0, ownEffectsEndMs())))
+            callbacks.onGained(OwnershipGained(term, maxOf(row?.effectsUntilMs ?: 0, ownEffectsEndMs())))
         }
         if (heldTerm != null) longestActUntilMs = maxOf(longestActUntilMs, actUntilMs)
     }
@@ -168,16 +168,16 @@
         val ids = knowledge.possibleRows.mapNotNull { it.deputyId }.toSet() + listOfNotNull(held.candidate?.processId)
         return ids.filter { it != self.processId }.mapNotNull(held::member).map { deputy ->
             held.onAsked(deputy.processId, nowMs)
-            DeputyCall(deputy, PromiseRequest(dataCentre, current.term, deputy.processId, nowMs + LEASE_MS))
+            DeputyCall(deputy, DeputyLeaseRequest(dataCentre, current.term, deputy.processId, nowMs + LEASE_MS))
         }
     }
 
-    fun onPromise(promise: Promise, nowMs: Long) {
+    fun onPromise(promise: DeputyLeaseResponse, nowMs: Long) {
         if (promise.granted && promise.dataCentre == dataCentre) held.onGranted(promise, nowMs)
         evaluate(nowMs)
     }
 
-    fun onPromiseRequest(request: PromiseRequest, nowMs: Long): Promise = keeper.answer(request, nowMs)
+    fun onDeputyLeaseRequest(request: DeputyLeaseRequest, nowMs: Long): DeputyLeaseResponse = keeper.answer(request, nowMs)
 
     /** From here on this process neither acts nor takes over; it still makes promises to others. */
     fun stop(nowMs: Long) {
@@ -200,7 +200,7 @@
 
     /** Time of the next useful tick: the regular one, or earlier when this process can take over before it. */
     fun nextTickAtMs(nowMs: Long): Long {
-        val regularMs = maxOf(nowMs, lastTickMs + RENEW_EVERY_MS)
+        val regularMs = maxOf(nowMs, lastTickMs + RENEWAL_PERIOD_MS)
         if (stopping || ownsRow) return regularMs
         val takeoverMs = policy.takeoverAtMs(row) ?: regularMs
         return minOf(regularMs, maxOf(nowMs + MIN_TICK_MS, takeoverMs))
--- a/ownership/src/main/kotlin/dev/bronzeshore/ownership/OwnershipMessages.kt
+++ b/ownership/src/main/kotlin/dev/bronzeshore/ownership/OwnershipMessages.kt
@@ -9,7 +9,7 @@
  * The id is part of the request because an address can be reused by a process that remembers no promises.
  */
 @Serializable
-public data class PromiseRequest(
+public data class DeputyLeaseRequest(
     public val dataCentre: String,
     public val term: Long,
     public val deputyId: String,
@@ -18,7 +18,7 @@
 
 /** Answer of the process [processId]; when [granted], it does not take over before [untilMs]. */
 @Serializable
-public data class Promise(
+public data class DeputyLeaseResponse(
     public val dataCentre: String,
     public val term: Long,
     public val processId: String,
@@ -28,4 +28,4 @@
 
 /** Tells [nextOwnerId] that the row now names it as owner, so that it need not wait for its next read. */
 @Serializable
-public data class HandOver(public val dataCentre: String, public val term: Long, public val nextOwnerId: String)
+public data class OwnershipHandover(public val dataCentre: String, public val term: Long, public val nextOwnerId: String)
--- a/ownership/src/main/kotlin/dev/bronzeshore/ownership/OwnershipRules.kt
+++ b/ownership/src/main/kotlin/dev/bronzeshore/ownership/OwnershipRules.kt
@@ -16,7 +16,7 @@
     /** A process does not take over before the end of its own promises. */
     val keepsOwnPromises: Boolean = true,
     /** Longest time that promises may reach past the row's lease. */
-    val promiseHorizonMs: Long = OFFLINE_HORIZON_MS,
+    val promiseHorizonMs: Long = TABLE_OUTAGE_LIMIT_MS,
     /** Time after the row's lease from which any process may take over. */
-    val takeoverHorizonMs: Long = OFFLINE_HORIZON_MS,
+    val takeoverHorizonMs: Long = TABLE_OUTAGE_LIMIT_MS,
 )
--- a/ownership/src/main/kotlin/dev/bronzeshore/ownership/OwnershipState.kt
+++ b/ownership/src/main/kotlin/dev/bronzeshore/ownership/OwnershipState.kt
@@ -17,4 +17,4 @@
  * gained again after a loss when the deputy renews it during a table outage; identifiers derived from the term must
  * therefore not restart at the same values within one process.
  */
-public data class Gained(public val term: Long, public val previousEffectsUntilMs: Long)
+public data class OwnershipGained(public val term: Long, public val previousEffectsUntilMs: Long)
--- a/ownership/src/main/kotlin/dev/bronzeshore/ownership/PromiseKeeper.kt
+++ b/ownership/src/main/kotlin/dev/bronzeshore/ownership/PromiseKeeper.kt
@@ -12,15 +12,15 @@
     var promisedUntilMs: Long = 0
         private set
 
-    fun answer(request: PromiseRequest, nowMs: Long): Promise {
+    fun answer(request: DeputyLeaseRequest, nowMs: Long): DeputyLeaseResponse {
         val untilMs = grantedUntilMs(request, nowMs)
         val granted = !refuses(request) && untilMs > nowMs
         if (granted) promisedUntilMs = maxOf(promisedUntilMs, untilMs)
-        return Promise(dataCentre, request.term, self.processId, granted, if (granted) untilMs else 0)
+        return DeputyLeaseResponse(dataCentre, request.term, self.processId, granted, if (granted) untilMs else 0)
     }
 
     /** A later term proves that an unsettled takeover from an earlier term can no longer take effect. */
-    private fun refuses(request: PromiseRequest): Boolean {
+    private fun refuses(request: DeputyLeaseRequest): Boolean {
         if (request.dataCentre != dataCentre || request.deputyId != self.processId) return true
         val term = knowledge.row?.term ?: 0
         if (request.term != term) return request.term < term
@@ -29,7 +29,7 @@
     }
 
     /** Bounds a promise by one lease from now and by the horizon, from which any process may take over. */
-    private fun grantedUntilMs(request: PromiseRequest, nowMs: Long): Long {
+    private fun grantedUntilMs(request: DeputyLeaseRequest, nowMs: Long): Long {
         val boundMs = minOf(request.untilMs, nowMs + LEASE_MS + rules.driftMs)
         val row = knowledge.row?.takeIf { it.term == request.term } ?: return boundMs
         return minOf(boundMs, row.leaseUntilMs + rules.promiseHorizonMs - rules.driftMs)
--- a/ownership/src/main/kotlin/dev/bronzeshore/ownership/Timing.kt
+++ b/ownership/src/main/kotlin/dev/bronzeshore/ownership/Timing.kt
@@ -5,10 +5,10 @@
 public const val LEASE_MS: Long = 3_000
 
 /** Time between two calls of [DataCentreOwnership.tick]. */
-public const val RENEW_EVERY_MS: Long = 1_000
+public const val RENEWAL_PERIOD_MS: Long = 1_000
 
 /** Longest time past the row's lease that promises may reach; exceeds the 30 minute outage that must be survived. */
-public const val OFFLINE_HORIZON_MS: Long = 2_700_000
+public const val TABLE_OUTAGE_LIMIT_MS: Long = 2_700_000
 
 /** Time-out of the table calls of one tick, so that a tick ends before the next is due. */
 internal const val CALL_TIMEOUT_MS: Long = 800
--- a/ownership/src/test/kotlin/dev/bronzeshore/ownership/DataCentreOwnershipTest.kt
+++ b/ownership/src/test/kotlin/dev/bronzeshore/ownership/DataCentreOwnershipTest.kt
@@ -25,7 +25,7 @@
             Member("c1", "c", "south", "c1:1"),
         )
     private val reachable = everybody.map { it.processId }.toMutableSet()
-    private val gained = ArrayList<Pair<String, Gained>>()
+    private val gained = ArrayList<Pair<String, OwnershipGained>>()
     private val lost = ArrayList<Pair<String, Long>>()
     private val processes: Map<String, DataCentreOwnership> =
         everybody.associate { self -> self.processId to ownership(self) }
@@ -39,7 +39,7 @@
         table = table.api,
         callDeputy = { member, request ->
             if (member.processId in reachable) {
-                processes.getValue(member.processId).onPromiseRequest(request).right()
+                processes.getValue(member.processId).onDeputyLeaseRequest(request).right()
             } else {
                 fault(ResultCode.PEER_UNAVAILABLE).left()
             }
@@ -59,7 +59,7 @@
     private fun run(periodMs: Long, vararg ids: String) = runBlocking {
         val untilMs = nowMs + periodMs
         while (nowMs < untilMs) {
-            nowMs += RENEW_EVERY_MS
+            nowMs += RENEWAL_PERIOD_MS
             ids.forEach { processes.getValue(it).tick() }
         }
     }
@@ -84,7 +84,7 @@
     fun `promises end before other processes may take over, guards against an unbounded outage`() {
         start()
         table.mode = TableMode.DOWN
-        run(OFFLINE_HORIZON_MS + LEASE_MS, "a1", "b1")
+        run(TABLE_OUTAGE_LIMIT_MS + LEASE_MS, "a1", "b1")
         assertFalse(owner.mayAct())
         table.mode = TableMode.UP
         run(5_000, "c1")
@@ -129,11 +129,11 @@
         runBlocking {
             val message = checkNotNull(owner.handOver())
             assertFalse(owner.mayAct())
-            assertEquals(HandOver("a", 2, "b1"), message)
-            deputy.onHandOver(message)
+            assertEquals(OwnershipHandover("a", 2, "b1"), message)
+            deputy.onHandover(message)
         }
         assertTrue(deputy.mayAct())
-        assertEquals("b1" to Gained(2, nowMs + LEASE_MS + MAX_CLOCK_SKEW_MS), gained.last())
+        assertEquals("b1" to OwnershipGained(2, nowMs + LEASE_MS + MAX_CLOCK_SKEW_MS), gained.last())
     }
 
     @Test
--- a/ownership/src/test/kotlin/dev/bronzeshore/ownership/OwnershipFiguresTest.kt
+++ b/ownership/src/test/kotlin/dev/bronzeshore/ownership/OwnershipFiguresTest.kt
@@ -16,7 +16,7 @@
         val simulation = OwnershipSimulation(seed, SimSettings(rules, untilMs = untilMs))
         simulation.latePercent = 0
         simulation.lostAnswerPercent = 0
-        simulation.after(FAULT_AT_MS + seed * 37 % RENEW_EVERY_MS) {
+        simulation.after(FAULT_AT_MS + seed * 37 % RENEWAL_PERIOD_MS) {
             simulation.judge.startMeasuring(simulation.realMs)
             fault(simulation)
         }
@@ -65,7 +65,7 @@
         val plain = longestUnownedMs("(a) lease only, 30 min outage, 10 seeds", 10, leaseOnly, endMs, ::outage)
         assertTrue(plain.first() > OUTAGE_MS - 2 * LEASE_MS)
         val promised = longestUnownedMs("(b) deputy, 30 min outage, 10 seeds", 10, withDeputy, endMs, ::outage)
-        assertTrue(promised.last() <= 2 * RENEW_EVERY_MS, "only lost messages may cause a gap: $promised")
+        assertTrue(promised.last() <= 2 * RENEWAL_PERIOD_MS, "only lost messages may cause a gap: $promised")
     }
 
     @Test
--- a/ownership/src/test/kotlin/dev/bronzeshore/ownership/OwnershipSimulation.kt
+++ b/ownership/src/test/kotlin/dev/bronzeshore/ownership/OwnershipSimulation.kt
@@ -89,7 +89,7 @@
         process.machine =
             OwnershipMachine(DATA_CENTRE, process.member, { visible }, { it in gone }, callbacks, settings.rules)
         processes[slot.address] = process
-        scheduleTick(process, random.nextLong(RENEW_EVERY_MS))
+        scheduleTick(process, random.nextLong(RENEWAL_PERIOD_MS))
     }
 
     fun offset(): Long = random.nextLong(-LARGEST_OFFSET_MS, LARGEST_OFFSET_MS + 1)
@@ -100,7 +100,7 @@
             val live = processes.values.filter { it.alive }.map { it.member }
             after(random.nextLong(PROCESS_ROW_LIFETIME_MS)) { visible = live }
         }
-        after(RENEW_EVERY_MS) { refreshMembers() }
+        after(RENEWAL_PERIOD_MS) { refreshMembers() }
     }
 
     /** Runs [action] in the process, after its pause if there is one, and never once it has crashed. */
@@ -209,7 +209,7 @@
         send(process.member.address, call.deputy.address) {
             val deputy = processes.getValue(call.deputy.address)
             inProcess(deputy) {
-                val promise = deputy.machine.onPromiseRequest(call.request, deputy.clock(realMs))
+                val promise = deputy.machine.onDeputyLeaseRequest(call.request, deputy.clock(realMs))
                 send(deputy.member.address, process.member.address) {
                     answered = true
                     inProcess(process) { process.machine.onPromise(promise, process.clock(realMs)) }
--- a/ownership/src/test/kotlin/dev/bronzeshore/ownership/OwnershipSimulationTest.kt
+++ b/ownership/src/test/kotlin/dev/bronzeshore/ownership/OwnershipSimulationTest.kt
@@ -18,7 +18,7 @@
         UNCHANGED_ROW_SETTLES_WRITE({ it.copy(rules = it.rules.copy(onlyNewVersionSettles = false)) }),
         OLD_DEPUTY_COUNTS_DURING_CHANGE({ it.copy(rules = it.rules.copy(countsUnsettledRows = false)) }),
         DEPUTY_FORGETS_PROMISES({ it.copy(rules = it.rules.copy(keepsOwnPromises = false)) }),
-        PROMISES_PAST_THE_HORIZON({ it.copy(rules = it.rules.copy(promiseHorizonMs = OFFLINE_HORIZON_MS)) }),
+        PROMISES_PAST_THE_HORIZON({ it.copy(rules = it.rules.copy(promiseHorizonMs = TABLE_OUTAGE_LIMIT_MS)) }),
         RESTARTED_PROCESS_KEEPS_ITS_ID({ it.copy(reusesIds = true) }),
     }
 
--- a/ownership/src/test/kotlin/dev/bronzeshore/ownership/SimProcess.kt
+++ b/ownership/src/test/kotlin/dev/bronzeshore/ownership/SimProcess.kt
@@ -12,7 +12,7 @@
     lateinit var machine: OwnershipMachine
     var alive = true
     var pausedUntilMs = 0L
-    var gained: Gained? = null
+    var gained: OwnershipGained? = null
 
     /** Number of the table step in progress; answers to earlier ones are dropped, as after a time-out. */
     var tableStep = 0L
--- a/server/src/main/kotlin/dev/bronzeshore/server/BronzeshoreProcess.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/BronzeshoreProcess.kt
@@ -11,10 +11,10 @@
 import dev.bronzeshore.core.ProcessStatus
 import dev.bronzeshore.core.WorkKind
 import dev.bronzeshore.jobs.JobListeners
-import dev.bronzeshore.ownership.HandOver
+import dev.bronzeshore.ownership.OwnershipHandover
 import dev.bronzeshore.ownership.Member
 import dev.bronzeshore.ownership.MemberDirectory
-import dev.bronzeshore.ownership.PROCESS_ROW_EVERY_MS
+import dev.bronzeshore.ownership.PROCESS_ROW_PERIOD_MS
 import dev.bronzeshore.peering.PeerClient
 import dev.bronzeshore.peering.PeerServer
 import dev.bronzeshore.plans.ConfigurationHolder
@@ -155,7 +155,7 @@
     }
 
     private fun startLoops() {
-        controlScope.repeatEvery(PROCESS_ROW_EVERY_MS) { if (!readiness.isStopping) directory.announce() }
+        controlScope.repeatEvery(PROCESS_ROW_PERIOD_MS) { if (!readiness.isStopping) directory.announce() }
         controlScope.repeatEvery(MEMBERS_EVERY_MS) { directory.refresh() }
         controlScope.repeatEvery(CONFIGURATION_EVERY_MS) { refreshConfiguration() }
         controlScope.repeatEvery(VMS_EVERY_MS) { refreshFleet() }
@@ -248,7 +248,7 @@
 
     private fun newWriteId(): String = UUID.randomUUID().toString()
 
-    private suspend fun notifyNextOwner(message: HandOver) {
+    private suspend fun notifyNextOwner(message: OwnershipHandover) {
         val next = directory.members.find { it.processId == message.nextOwnerId } ?: return
         gateway.call(next, PeerCalls.handOver, message, PEER_TIMEOUT_MS)
     }
--- a/server/src/main/kotlin/dev/bronzeshore/server/DataCentreSupervisor.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/DataCentreSupervisor.kt
@@ -21,10 +21,10 @@
 import dev.bronzeshore.jobs.OwnerAuthority
 import dev.bronzeshore.jobs.WorkerCandidate
 import dev.bronzeshore.ownership.DataCentreOwnership
-import dev.bronzeshore.ownership.Gained
+import dev.bronzeshore.ownership.OwnershipGained
 import dev.bronzeshore.ownership.Member
-import dev.bronzeshore.ownership.Promise
-import dev.bronzeshore.ownership.PromiseRequest
+import dev.bronzeshore.ownership.DeputyLeaseResponse
+import dev.bronzeshore.ownership.DeputyLeaseRequest
 import dev.bronzeshore.placement.PlacementEngine
 import dev.bronzeshore.requests.AllotmentLedger
 import dev.bronzeshore.requests.EndpointSlots
@@ -45,7 +45,7 @@
     val controlScope: CoroutineScope,
     val members: () -> List<Member>,
     val isGone: (processId: String) -> Boolean,
-    val callDeputy: suspend (Member, PromiseRequest) -> Either<Fault, Promise>,
+    val callDeputy: suspend (Member, DeputyLeaseRequest) -> Either<Fault, DeputyLeaseResponse>,
     val kindOf: (plan: String, kind: String) -> WorkKind?,
     val listeners: JobListeners,
     val nextAttempt: () -> Long,
@@ -101,14 +101,14 @@
         tenure?.let(::applyView)
     }
 
-    private fun onGained(gained: Gained) {
+    private fun onGained(gained: OwnershipGained) {
         // A term that is regained after a short loss goes on with the state it had; each effect checks the deadline.
         if (tenure?.term == gained.term) return
         tenure?.scope?.cancel()
         tenure = startTenure(gained)
     }
 
-    private fun startTenure(gained: Gained): Tenure {
+    private fun startTenure(gained: OwnershipGained): Tenure {
         val scope = CoroutineScope(
             context.controlScope.coroutineContext + SupervisorJob(context.controlScope.coroutineContext.job),
         )
--- a/server/src/main/kotlin/dev/bronzeshore/server/Fleet.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/Fleet.kt
@@ -10,7 +10,7 @@
 import dev.bronzeshore.core.VmState
 import dev.bronzeshore.core.VmStatus
 import dev.bronzeshore.membership.MemberVm
-import dev.bronzeshore.membership.Presence
+import dev.bronzeshore.membership.EffectiveVmState
 import dev.bronzeshore.membership.Quarantine
 import dev.bronzeshore.membership.VmView
 import dev.bronzeshore.platform.VmListApi
@@ -31,7 +31,7 @@
         workers.groupBy { it.dataCentre }.forEach { (dataCentre, members) ->
             val quarantine = quarantines.getOrPut(dataCentre) { Quarantine(clock) }
             quarantine.setWorkers(members.mapTo(HashSet()) { it.id })
-            quarantine.review()
+            quarantine.quarantinePending()
         }
     }
 
@@ -41,7 +41,7 @@
     }
 
     /** VMs that may still run something; those that take no new work are `LEAVING`. */
-    fun vms(): List<Vm> = view.members().filter { it.presence != Presence.GONE }.map { it.vm }
+    fun vms(): List<Vm> = view.members().filter { it.effectiveState != EffectiveVmState.GONE }.map { it.vm }
 
     fun endpointIds(): Set<String> = view.members().filter {
         it.vm.role == VmRole.ENDPOINT
--- a/server/src/main/kotlin/dev/bronzeshore/server/OwnerService.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/OwnerService.kt
@@ -11,18 +11,18 @@
 import dev.bronzeshore.core.PartLocation
 import dev.bronzeshore.core.ResultCode
 import dev.bronzeshore.jobs.JobStatus
-import dev.bronzeshore.ownership.HandOver
-import dev.bronzeshore.ownership.Promise
-import dev.bronzeshore.ownership.PromiseRequest
+import dev.bronzeshore.ownership.OwnershipHandover
+import dev.bronzeshore.ownership.DeputyLeaseResponse
+import dev.bronzeshore.ownership.DeputyLeaseRequest
 import dev.bronzeshore.requests.AllotmentRequest
 import dev.bronzeshore.requests.Allotments
 
 internal class OwnerService(private val supervisors: DataCentres) {
-    fun promise(request: PromiseRequest): Either<Fault, Promise> =
-        supervisors.find(request.dataCentre).map { it.ownership.onPromiseRequest(request) }
+    fun promise(request: DeputyLeaseRequest): Either<Fault, DeputyLeaseResponse> =
+        supervisors.find(request.dataCentre).map { it.ownership.onDeputyLeaseRequest(request) }
 
-    suspend fun handOver(message: HandOver): Either<Fault, Acknowledged> = supervisors.find(message.dataCentre).map {
-        it.ownership.onHandOver(message)
+    suspend fun handOver(message: OwnershipHandover): Either<Fault, Acknowledged> = supervisors.find(message.dataCentre).map {
+        it.ownership.onHandover(message)
         Acknowledged()
     }
 
--- a/server/src/main/kotlin/dev/bronzeshore/server/PeerCalls.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/PeerCalls.kt
@@ -5,9 +5,9 @@
 import dev.bronzeshore.core.JobRecord
 import dev.bronzeshore.core.JobSubmission
 import dev.bronzeshore.core.JobView
-import dev.bronzeshore.ownership.HandOver
-import dev.bronzeshore.ownership.Promise
-import dev.bronzeshore.ownership.PromiseRequest
+import dev.bronzeshore.ownership.OwnershipHandover
+import dev.bronzeshore.ownership.DeputyLeaseResponse
+import dev.bronzeshore.ownership.DeputyLeaseRequest
 import dev.bronzeshore.peering.CallType
 import dev.bronzeshore.requests.AllotmentRequest
 import dev.bronzeshore.requests.Allotments
@@ -39,8 +39,8 @@
 internal data class Acknowledged(val done: Boolean = true)
 
 internal object PeerCalls {
-    val promise = CallType("promise", PromiseRequest.serializer(), Promise.serializer())
-    val handOver = CallType("hand-over", HandOver.serializer(), Acknowledged.serializer())
+    val promise = CallType("promise", DeputyLeaseRequest.serializer(), DeputyLeaseResponse.serializer())
+    val handOver = CallType("hand-over", OwnershipHandover.serializer(), Acknowledged.serializer())
     val configurationPush = CallType("configuration-push", Configuration.serializer(), Long.serializer())
     val configurationPull = CallType("configuration-pull", Acknowledged.serializer(), Configuration.serializer())
     val allotments = CallType("allotments", AllotmentRequest.serializer(), Allotments.serializer())
