--- a/membership/src/main/kotlin/dev/bronzeshore/membership/VmView.kt
+++ b/membership/src/main/kotlin/dev/bronzeshore/membership/VmView.kt
@@ -1,10 +1,10 @@
 /** Merges the platform's lagging VM list with the operators' marks. */
 package dev.bronzeshore.membership
 
-import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 import dev.bronzeshore.core.ClockMs
-import dev.bronzeshore.core.MarkedVm
 import dev.bronzeshore.core.ComponentLog
+import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
+import dev.bronzeshore.core.MarkedVm
 import dev.bronzeshore.core.TASK_LEASE_MS
 import dev.bronzeshore.core.Vm
 import dev.bronzeshore.core.VmMark
--- a/ownership/src/main/kotlin/dev/bronzeshore/ownership/DataCentreOwnership.kt
+++ b/ownership/src/main/kotlin/dev/bronzeshore/ownership/DataCentreOwnership.kt
@@ -65,7 +65,8 @@
         machine.evaluate(clock())
     }
 
-    public fun onDeputyLeaseRequest(request: DeputyLeaseRequest): DeputyLeaseResponse = machine.onDeputyLeaseRequest(request, clock())
+    public fun onDeputyLeaseRequest(request: DeputyLeaseRequest): DeputyLeaseResponse =
+        machine.onDeputyLeaseRequest(request, clock())
 
     /** Reads the row at once when it may name this process as the next owner. */
     public suspend fun onHandover(message: OwnershipHandover) {
--- a/ownership/src/main/kotlin/dev/bronzeshore/ownership/MemberDirectory.kt
+++ b/ownership/src/main/kotlin/dev/bronzeshore/ownership/MemberDirectory.kt
@@ -3,9 +3,9 @@
 
 import arrow.core.Either
 import arrow.core.raise.either
-import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 import dev.bronzeshore.core.ClockMs
 import dev.bronzeshore.core.Fault
+import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 import dev.bronzeshore.core.Put
 import dev.bronzeshore.core.RowRange
 import dev.bronzeshore.core.TableApi
--- a/ownership/src/main/kotlin/dev/bronzeshore/ownership/OwnershipMachine.kt
+++ b/ownership/src/main/kotlin/dev/bronzeshore/ownership/OwnershipMachine.kt
@@ -177,7 +177,8 @@
         evaluate(nowMs)
     }
 
-    fun onDeputyLeaseRequest(request: DeputyLeaseRequest, nowMs: Long): DeputyLeaseResponse = keeper.answer(request, nowMs)
+    fun onDeputyLeaseRequest(request: DeputyLeaseRequest, nowMs: Long): DeputyLeaseResponse =
+        keeper.answer(request, nowMs)
 
     /** From here on this process neither acts nor takes over; it still makes promises to others. */
     fun stop(nowMs: Long) {
--- a/ownership/src/main/kotlin/dev/bronzeshore/ownership/OwnershipMessages.kt
+++ b/ownership/src/main/kotlin/dev/bronzeshore/ownership/OwnershipMessages.kt
@@ -28,4 +28,8 @@
 
 /** Tells [nextOwnerId] that the row now names it as owner, so that it need not wait for its next read. */
 @Serializable
-public data class OwnershipHandover(public val dataCentre: String, public val term: Long, public val nextOwnerId: String)
+public data class OwnershipHandover(
+    public val dataCentre: String,
+    public val term: Long,
+    public val nextOwnerId: String,
+)
