--- a/ownership/src/main/kotlin/dev/bronzeshore/ownership/DataCentreOwnership.kt
+++ b/ownership/src/main/kotlin/dev/bronzeshore/ownership/DataCentreOwnership.kt
@@ -13,10 +13,10 @@
 import org.tinylog.Logger
 
 /**
- * Control state for one data centre in one process; every call is made on the control thread.
+ * Ownership state of one data centre in one process; all calls are made on the control thread.
  *
- * [isGone] is the operators' audited mark that a process no longer runs. [onGained] and [onLost] are called on the
- * control thread whenever this process becomes or stops being the owner.
+ * [isGone] is true for a process that operators marked as no longer running (the mark is audited). [onGained] and
+ * [onLost] are called on the control thread whenever this process becomes or stops being the owner.
  */
 public class DataCentreOwnership(
     public val dataCentre: String,
@@ -29,78 +29,78 @@
     private val onGained: (OwnershipGained) -> Unit = {},
     private val onLost: (term: Long) -> Unit = {},
 ) {
-    private val machine =
-        OwnershipMachine(dataCentre, self, members, isGone, OwnershipCallbacks(::gained, ::lost))
+    private val stateMachine =
+        OwnershipStateMachine(dataCentre, self, members, isGone, OwnershipCallbacks(::notifyGained, ::notifyLost))
     private val key = ownerRowKey(dataCentre)
-    private val tableCalls = Mutex()
+    private val tableMutex = Mutex()
 
     public val state: OwnershipState
         get() {
-            val row = machine.row
+            val row = stateMachine.row
             return OwnershipState(mayAct(), row?.term ?: 0, row?.ownerId, row?.deputyId, actUntilMs)
         }
 
-    /** Effects and their deadlines must end before this time; 0 when this process is not the owner. */
+    /** All effects of this process and their deadlines must end before this time; 0 if it is not the owner. */
     public val actUntilMs: Long
-        get() = if (machine.mayAct(clock())) machine.actUntilMs() else 0
+        get() = if (stateMachine.mayAct(clock())) stateMachine.actUntilMs() else 0
 
-    /** Time at which the next [tick] is due; a deputy is called earlier when it can take over. */
+    /** Time at which the next [tick] is due; earlier than one period if this process can take over before. */
     public val nextTickAtMs: Long
-        get() = machine.nextTickAtMs(clock())
+        get() = stateMachine.nextTickAtMs(clock())
 
-    /** Checked immediately before each effect. */
-    public fun mayAct(): Boolean = machine.mayAct(clock())
+    /** Whether this process is the owner now; callers check it immediately before each effect. */
+    public fun mayAct(): Boolean = stateMachine.mayAct(clock())
 
     /**
      * Renews or takes over ownership; called every [RENEWAL_PERIOD_MS] or at [nextTickAtMs].
      *
-     * The table and the deputy are called concurrently, so a slow table does not delay a promise.
+     * The table and the deputy are called concurrently, so that a slow table does not delay a deputy lease.
      */
     public suspend fun tick() {
-        val calls = machine.beginTick(clock())
+        val calls = stateMachine.beginTick(clock())
         coroutineScope {
-            launch { tableCalls.withLock { tableStep { machine.beginTableStep(clock()) } } }
-            calls.forEach { call -> launch { askDeputy(call) } }
+            launch { tableMutex.withLock { runTableSteps { stateMachine.beginTableStep(clock()) } } }
+            calls.forEach { call -> launch { requestDeputyLease(call) } }
         }
-        machine.evaluate(clock())
+        stateMachine.evaluate(clock())
     }
 
     public fun onDeputyLeaseRequest(request: DeputyLeaseRequest): DeputyLeaseResponse =
-        machine.onDeputyLeaseRequest(request, clock())
+        stateMachine.onDeputyLeaseRequest(request, clock())
 
-    /** Reads the row at once when it may name this process as the next owner. */
+    /** Ticks at once if the message names this process as the next owner. */
     public suspend fun onHandover(message: OwnershipHandover) {
         if (message.nextOwnerId == self.processId) tick()
     }
 
     /**
-     * Stops acting for good and names the deputy as the next owner.
+     * Stops acting permanently and names the deputy as the next owner.
      *
-     * Returns the message for the next owner, or null when there was nothing to hand over, no deputy answers or the
-     * table does not; the deputy then takes over after the lease.
+     * Returns the message for the next owner, or null if this process owned nothing, no deputy responds or the table
+     * is unavailable. If the table is unavailable, the deputy takes over after the lease.
      */
     public suspend fun handOver(): OwnershipHandover? {
-        machine.stop(clock())
-        repeat(HAND_OVER_ATTEMPTS) {
-            tableCalls.withLock { tableStep { machine.handOverStep(clock()) } }
-            val row = machine.row ?: return null
+        stateMachine.stop(clock())
+        repeat(HANDOVER_ATTEMPTS) {
+            tableMutex.withLock { runTableSteps { stateMachine.handOverStep(clock()) } }
+            val row = stateMachine.row ?: return null
             if (row.ownerId != self.processId) return OwnershipHandover(dataCentre, row.term, row.ownerId)
             if (row.deputyId == null) return null
         }
         return null
     }
 
-    private suspend fun tableStep(first: () -> TableStep) {
-        val finished = withTimeoutOrNull(CALL_TIMEOUT_MS) { runSteps(first()) }
-        if (finished == null) machine.onTableTimeout(clock())
+    private suspend fun runTableSteps(first: () -> TableStep) {
+        val finished = withTimeoutOrNull(TABLE_CALL_TIMEOUT_MS) { executeSteps(first()) }
+        if (finished == null) stateMachine.onTableTimeout(clock())
     }
 
-    private suspend fun runSteps(first: TableStep) {
+    private suspend fun executeSteps(first: TableStep) {
         var step = first
         while (step != TableStep.Done) {
             step =
                 when (val current = step) {
-                    is TableStep.Read -> machine.onRead(table.read(key), clock())
+                    is TableStep.Read -> stateMachine.onRead(table.read(key), clock())
                     is TableStep.Write -> write(current)
                     is TableStep.Done -> current
                 }
@@ -109,23 +109,23 @@
 
     private suspend fun write(step: TableStep.Write): TableStep {
         val result = table.write(step.transaction)
-        return machine.onWritten(step.transaction.writeId, result, clock())
+        return stateMachine.onWritten(step.transaction.writeId, result, clock())
     }
 
-    private suspend fun askDeputy(call: DeputyCall) {
-        repeat(PROMISE_ATTEMPTS) {
-            val answer = withTimeoutOrNull(PROMISE_TIMEOUT_MS) { callDeputy(call.deputy, call.request) }
-            val promise = answer?.getOrNull()
-            if (promise != null) return machine.onPromise(promise, clock())
+    private suspend fun requestDeputyLease(call: DeputyCall) {
+        repeat(DEPUTY_CALL_ATTEMPTS) {
+            val result = withTimeoutOrNull(DEPUTY_CALL_TIMEOUT_MS) { callDeputy(call.deputy, call.request) }
+            val response = result?.getOrNull()
+            if (response != null) return stateMachine.onDeputyLeaseResponse(response, clock())
         }
     }
 
-    private fun gained(gained: OwnershipGained) {
+    private fun notifyGained(gained: OwnershipGained) {
         Logger.info("ownership: {} owns {} in term {}", self.processId, dataCentre, gained.term)
         onGained(gained)
     }
 
-    private fun lost(term: Long) {
+    private fun notifyLost(term: Long) {
         Logger.info("ownership: {} no longer owns {} (term {})", self.processId, dataCentre, term)
         onLost(term)
     }
--- a/ownership/src/main/kotlin/dev/bronzeshore/ownership/DeputyChooser.kt
+++ b/ownership/src/main/kotlin/dev/bronzeshore/ownership/DeputySelector.kt
@@ -1,17 +1,17 @@
-/** Which process becomes deputy, and in which order processes try to take an unowned data centre. */
+/** Selection of the deputy, and the order in which processes try to take over an unowned data centre. */
 package dev.bronzeshore.ownership
 
-/** Orders candidates for the deputy of a data centre whose owner is [owner]; the first one is the best. */
-internal class DeputyChooser(private val dataCentre: String, private val owner: Member) {
-    /** 0 for another data centre of the owner's region, 1 for another region, 2 for the owner's data centre. */
+/** Selects the deputy of [owner], which owns [dataCentre]. */
+internal class DeputySelector(private val dataCentre: String, private val owner: Member) {
+    /** Lower is better: 0 for another data centre in the owner's region, 1 for another region, 2 for the same one. */
     fun tier(member: Member): Int = when {
         member.dataCentre == owner.dataCentre -> 2
         member.region != owner.region -> 1
         else -> 0
     }
 
-    /** Prefers processes in the owned data centre, so that ownership tends to be local; hashes spread the rest. */
-    fun choose(candidates: List<Member>): Member? = candidates
+    /** Within a tier, prefers processes in the owned data centre, so that ownership tends to be local; then by hash. */
+    fun select(candidates: List<Member>): Member? = candidates
         .filter { it.processId != owner.processId }
         .minWithOrNull(
             compareBy(
@@ -23,7 +23,7 @@
         )
 }
 
-/** How long [self] waits before it tries to take the unowned [dataCentre]: local processes go first, one by one. */
+/** Delay before [self] tries to take over the unowned [dataCentre]: local processes try first, one after another. */
 internal fun takeoverDelayMs(dataCentre: String, self: Member, members: List<Member>): Long {
     val order =
         (members.filter { it.processId != self.processId } + self)
--- a/ownership/src/main/kotlin/dev/bronzeshore/ownership/Member.kt
+++ b/ownership/src/main/kotlin/dev/bronzeshore/ownership/Member.kt
@@ -1,13 +1,13 @@
-/** A bronzeshore process as its peers see it. */
+/** Identity and location of a bronzeshore process. */
 package dev.bronzeshore.ownership
 
 import kotlinx.serialization.Serializable
 
 /**
- * One process.
+ * A bronzeshore process as its peers see it.
  *
- * [processId] must be unique per start of a process: a restarted process does not remember the promises that it made,
- * so its peers must not take it for the earlier one.
+ * [processId] must be unique per start of a process: a restarted process does not know the deputy leases that it
+ * granted before, so its peers must not mistake it for the earlier one.
  */
 @Serializable
 public data class Member(
--- a/ownership/src/main/kotlin/dev/bronzeshore/ownership/MemberDirectory.kt
+++ b/ownership/src/main/kotlin/dev/bronzeshore/ownership/MemberDirectory.kt
@@ -1,4 +1,4 @@
-/** The process rows by which bronzeshore processes find each other. */
+/** Process rows, by which bronzeshore processes discover each other. */
 package dev.bronzeshore.ownership
 
 import arrow.core.Either
@@ -16,10 +16,10 @@
 /** Time between two writes of a process row. */
 public const val PROCESS_ROW_PERIOD_MS: Long = 2_000
 
-/** A process row counts this long after a write: long enough for two writes to fail. */
+/** Validity of a process row after a write; two writes in a row may fail before it expires. */
 public const val PROCESS_ROW_LIFETIME_MS: Long = 7_000
 
-/** Rows of dead processes are deleted after this time, so that the directory does not grow with restarts. */
+/** Expired rows are deleted after this time, so that the number of rows does not grow with each restart. */
 internal const val PROCESS_ROW_RETENTION_MS: Long = 3_600_000
 
 private const val PROCESS_PREFIX = "process/"
@@ -27,27 +27,27 @@
 @Serializable
 internal data class ProcessRow(val member: Member, val liveUntilMs: Long)
 
-/** Writes the own row and reads those of the others; keeps the last known members while the table is down. */
+/** Writes the row of this process and reads the others; keeps the last known members while the table is unavailable. */
 public class MemberDirectory(private val self: Member, private val clock: ClockMs, private val table: TableApi) {
     private var others: List<Member> = emptyList()
-    private var writes = 0L
+    private var writeCount = 0L
 
     /** This process and all others that were live at the last successful read. */
     public val members: List<Member>
         get() = listOf(self) + others
 
-    /** Writes the own row; called every [PROCESS_ROW_PERIOD_MS]. */
+    /** Writes the row of this process; called every [PROCESS_ROW_PERIOD_MS]. */
     public suspend fun announce(): Either<Fault, Unit> {
         val row = ProcessRow(self, clock() + PROCESS_ROW_LIFETIME_MS)
         val put = Put(PROCESS_PREFIX + self.processId, WireJson.encodeToString(ProcessRow.serializer(), row))
         return table.write(Transaction(nextWriteId(), puts = listOf(put))).map {}
     }
 
-    /** Removes the own row on a planned stop, so that no peer chooses this process as deputy. */
+    /** Deletes the row of this process on a planned stop, so that no peer selects it as deputy. */
     public suspend fun withdraw(): Either<Fault, Unit> =
         table.write(Transaction(nextWriteId(), deletes = listOf(PROCESS_PREFIX + self.processId))).map {}
 
-    /** Reads all process rows; on a fault the last known members stay. */
+    /** Reads all process rows; on a fault the last known members are kept. */
     public suspend fun refresh(): Either<Fault, List<Member>> = either {
         val rows = readAll().bind()
         val nowMs = clock()
@@ -77,8 +77,8 @@
     }
 
     private fun nextWriteId(): String {
-        writes += 1
-        return "${self.processId}/directory/$writes"
+        writeCount += 1
+        return "${self.processId}/directory/$writeCount"
     }
 
     private companion object {
--- a/ownership/src/main/kotlin/dev/bronzeshore/ownership/OwnerRow.kt
+++ b/ownership/src/main/kotlin/dev/bronzeshore/ownership/OwnerRow.kt
@@ -1,4 +1,4 @@
-/** The row that names the owner of a data centre. */
+/** Table row that names the owner of a data centre. */
 package dev.bronzeshore.ownership
 
 import dev.bronzeshore.core.Row
@@ -8,8 +8,8 @@
 /**
  * Content of the row `owner/<dataCentre>`.
  *
- * [deputyId] is null when no other process was known; no promise can then extend the lease. No effect of an earlier
- * term lasts past [effectsUntilMs].
+ * [deputyId] is null if no other process was known; no deputy lease can then extend [leaseUntilMs]. No effect of an
+ * earlier term lasts past [effectsUntilMs].
  */
 @Serializable
 internal data class OwnerRow(
@@ -20,7 +20,7 @@
     val effectsUntilMs: Long = 0,
 )
 
-/** An owner row at a version; version 0 with a null [row] means that the table holds no row. */
+/** Owner row with its version; version 0 and a null [row] mean that the table holds no row. */
 internal data class VersionedOwnerRow(val version: Long, val row: OwnerRow?)
 
 internal fun ownerRowKey(dataCentre: String): String = "owner/$dataCentre"
--- a/ownership/src/main/kotlin/dev/bronzeshore/ownership/OwnershipMessages.kt
+++ b/ownership/src/main/kotlin/dev/bronzeshore/ownership/OwnershipMessages.kt
@@ -1,12 +1,13 @@
-/** Messages between processes about ownership. */
+/** Messages between processes about the ownership of data centres. */
 package dev.bronzeshore.ownership
 
 import kotlinx.serialization.Serializable
 
 /**
- * Asks the process [deputyId] not to take over [dataCentre] before [untilMs].
+ * Asks the process [deputyId] for a deputy lease: not to take over [dataCentre] before [untilMs].
  *
- * The id is part of the request because an address can be reused by a process that remembers no promises.
+ * The id is part of the request because a restarted process, which does not know its earlier leases, may reuse the
+ * address.
  */
 @Serializable
 public data class DeputyLeaseRequest(
@@ -16,7 +17,7 @@
     public val untilMs: Long,
 )
 
-/** Answer of the process [processId]; when [granted], it does not take over before [untilMs]. */
+/** Response of the process [processId]; if [granted], it does not take over before [untilMs]. */
 @Serializable
 public data class DeputyLeaseResponse(
     public val dataCentre: String,
@@ -26,7 +27,7 @@
     public val untilMs: Long,
 )
 
-/** Tells [nextOwnerId] that the row now names it as owner, so that it need not wait for its next read. */
+/** Tells [nextOwnerId] that the row now names it as owner, so that it reads the row at once. */
 @Serializable
 public data class OwnershipHandover(
     public val dataCentre: String,
--- a/ownership/src/main/kotlin/dev/bronzeshore/ownership/OwnershipState.kt
+++ b/ownership/src/main/kotlin/dev/bronzeshore/ownership/OwnershipState.kt
@@ -1,9 +1,9 @@
-/** What a process knows about the ownership of one data centre. */
+/** State of the ownership of one data centre in one process, and its changes. */
 package dev.bronzeshore.ownership
 
-/** [owner] is whether this process may act; the other fields are as last read or written, null or 0 when unknown. */
+/** [isOwner] is true while this process may act; the other fields are as last read or written, null or 0 if unknown. */
 public data class OwnershipState(
-    public val owner: Boolean,
+    public val isOwner: Boolean,
     public val term: Long,
     public val ownerId: String?,
     public val deputyId: String?,
@@ -11,10 +11,10 @@
 )
 
 /**
- * Ownership was gained for [term].
+ * This process became the owner for [term].
  *
  * No effect of a previous owner (allotment, start command) lasts past [previousEffectsUntilMs]. The same term can be
- * gained again after a loss when the deputy renews it during a table outage; identifiers derived from the term must
- * therefore not restart at the same values within one process.
+ * gained again after a loss if the deputy renews its lease during a table outage. Identifiers derived from the term
+ * must therefore not restart at the same values within one process.
  */
 public data class OwnershipGained(public val term: Long, public val previousEffectsUntilMs: Long)
--- a/ownership/src/main/kotlin/dev/bronzeshore/ownership/TableStep.kt
+++ b/ownership/src/main/kotlin/dev/bronzeshore/ownership/TableStep.kt
@@ -1,4 +1,4 @@
-/** What the ownership state machine asks of the table service next. */
+/** The next table call that the ownership state machine requests. */
 package dev.bronzeshore.ownership
 
 import dev.bronzeshore.core.Transaction
--- a/ownership/src/test/kotlin/dev/bronzeshore/ownership/DataCentreOwnershipTest.kt
+++ b/ownership/src/test/kotlin/dev/bronzeshore/ownership/DataCentreOwnershipTest.kt
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** The coroutine part: calls between an owner `a1` and a deputy `b1` that share a fake table and one fake clock. */
+/** Guards the calls of the coroutines: an owner `a1` and a deputy `b1` share a fake table and one fake clock. */
 class DataCentreOwnershipTest {
     private var nowMs = 1_000_000L
     private val table = FakeTable()
@@ -55,7 +55,7 @@
         processes.values.forEach { it.tick() }
     }
 
-    /** Ticks all named processes once a second for a period. */
+    /** Ticks the given processes once a second for [periodMs]. */
     private fun run(periodMs: Long, vararg ids: String) = runBlocking {
         val untilMs = nowMs + periodMs
         while (nowMs < untilMs) {
@@ -81,7 +81,7 @@
     }
 
     @Test
-    fun `promises end before other processes may take over, guards against an unbounded outage`() {
+    fun `deputy leases end before other processes may take over, guards against an unbounded outage`() {
         start()
         table.mode = TableMode.DOWN
         run(TABLE_OUTAGE_LIMIT_MS + LEASE_MS, "a1", "b1")
@@ -93,7 +93,7 @@
     }
 
     @Test
-    fun `a slow table does not delay a promise, guards against calls in sequence`() {
+    fun `a slow table does not delay a deputy lease, guards against calls in sequence`() {
         start()
         val release = CompletableDeferred<Unit>()
         table.beforeCall = { release.await() }
@@ -137,7 +137,7 @@
     }
 
     @Test
-    fun `a hand-over without a reachable deputy opens the data centre`() {
+    fun `after a handover without a reachable deputy another process takes over`() {
         reachable.clear()
         start()
         runBlocking { assertNull(owner.handOver()) }
@@ -147,9 +147,9 @@
     }
 
     @Test
-    fun `a hand-over whose answer is lost is settled by a re-read`() {
+    fun `a handover whose response is lost is resolved by a re-read`() {
         start()
-        table.mode = TableMode.ANSWER_LOST
+        table.mode = TableMode.RESPONSE_LOST
         runBlocking { assertNull(owner.handOver()) }
         table.mode = TableMode.UP
         run(1_000, "b1")
--- a/ownership/src/test/kotlin/dev/bronzeshore/ownership/FakeTable.kt
+++ b/ownership/src/test/kotlin/dev/bronzeshore/ownership/FakeTable.kt
@@ -1,4 +1,4 @@
-/** A small table service for tests: conditional writes with faults, driven directly. */
+/** In-memory table service for tests, with conditional writes and injected faults. */
 package dev.bronzeshore.ownership
 
 import arrow.core.Either
@@ -11,9 +11,9 @@
 import dev.bronzeshore.core.Transaction
 import dev.bronzeshore.core.WriteResult
 
-internal enum class TableMode { UP, DOWN, ANSWER_LOST, UNKNOWN_NOT_APPLIED }
+internal enum class TableMode { UP, DOWN, RESPONSE_LOST, UNKNOWN_NOT_APPLIED }
 
-/** Rows in memory; [beforeCall] lets a test hold up a call. */
+/** Table in memory; [beforeCall] lets a test delay a call. */
 internal class FakeTable {
     val rows = HashMap<String, Row>()
     var mode = TableMode.UP
@@ -36,16 +36,16 @@
             },
             write = { transaction ->
                 beforeCall()
-                answer(transaction)
+                respond(transaction)
             },
         )
 
-    private fun answer(transaction: Transaction): Either<Fault, WriteResult> = when (mode) {
+    private fun respond(transaction: Transaction): Either<Fault, WriteResult> = when (mode) {
         TableMode.UP -> apply(transaction).right()
 
         TableMode.DOWN -> fault(ResultCode.STORE_UNAVAILABLE).left()
 
-        TableMode.ANSWER_LOST -> {
+        TableMode.RESPONSE_LOST -> {
             apply(transaction)
             fault(ResultCode.WRITE_UNKNOWN).left()
         }
@@ -54,8 +54,8 @@
     }
 
     fun apply(transaction: Transaction): WriteResult {
-        val broken = transaction.conditions.find { (rows[it.key]?.version ?: 0) != it.version }
-        if (broken != null) return WriteResult.Conflict(broken.key, rows[broken.key]?.version ?: 0)
+        val failed = transaction.conditions.find { (rows[it.key]?.version ?: 0) != it.version }
+        if (failed != null) return WriteResult.Conflict(failed.key, rows[failed.key]?.version ?: 0)
         transaction.puts.forEach {
             rows[it.key] = Row(it.key, (rows[it.key]?.version ?: 0) + 1, it.value, transaction.writeId)
         }
--- a/ownership/src/test/kotlin/dev/bronzeshore/ownership/OwnershipFiguresTest.kt
+++ b/ownership/src/test/kotlin/dev/bronzeshore/ownership/OwnershipFiguresTest.kt
@@ -5,24 +5,29 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Times without an owner for docs/decisions/0001-ownership.md, with the periods of production. */
+/** Measures times without an owner for docs/decisions/0001-ownership.md, with the periods used in production. */
 class OwnershipFiguresTest {
-    /** Alternative (a): no promise counts, and any process may take over after the lease. */
-    private val leaseOnly = OwnershipRules(promiseHorizonMs = 0, takeoverHorizonMs = MAX_CLOCK_SKEW_MS)
+    /** Alternative (a): deputy leases do not extend ownership, and any process may take over after the lease. */
+    private val leaseOnly = OwnershipRules(deputyLeaseLimitMs = 0, openTakeoverDelayMs = MAX_CLOCK_SKEW_MS)
     private val withDeputy = OwnershipRules()
 
-    /** Starts a run without messages that are late and returns it with a fault at a time that depends on the seed. */
-    private fun run(seed: Long, rules: OwnershipRules, untilMs: Long, fault: (OwnershipSimulation) -> Unit): Judge {
-        val simulation = OwnershipSimulation(seed, SimSettings(rules, untilMs = untilMs))
+    /** Runs a simulation without late messages, with [fault] at a time that depends on the seed. */
+    private fun run(
+        seed: Long,
+        rules: OwnershipRules,
+        untilMs: Long,
+        fault: (OwnershipSimulation) -> Unit,
+    ): InvariantChecker {
+        val simulation = OwnershipSimulation(seed, SimulationSettings(rules, untilMs = untilMs))
         simulation.latePercent = 0
-        simulation.lostAnswerPercent = 0
+        simulation.lostResponsePercent = 0
         simulation.after(FAULT_AT_MS + seed * 37 % RENEWAL_PERIOD_MS) {
-            simulation.judge.startMeasuring(simulation.realMs)
+            simulation.checker.startMeasuring(simulation.realMs)
             fault(simulation)
         }
-        val judge = simulation.run().judge
-        assertEquals(null, judge.firstFault, "seed $seed")
-        return judge
+        val checker = simulation.run().checker
+        assertEquals(null, checker.firstViolation, "seed $seed")
+        return checker
     }
 
     private fun longestUnownedMs(
@@ -37,7 +42,7 @@
         return times
     }
 
-    private fun kill(process: SimProcess?) {
+    private fun kill(process: SimulatedProcess?) {
         process?.alive = false
     }
 
@@ -46,8 +51,8 @@
         simulation.after(OUTAGE_MS) { simulation.table.mode = TableMode.UP }
     }
 
-    private fun deputy(simulation: OwnershipSimulation): SimProcess? {
-        val id = simulation.owner()?.machine?.row?.deputyId
+    private fun deputy(simulation: OwnershipSimulation): SimulatedProcess? {
+        val id = simulation.owner()?.stateMachine?.row?.deputyId
         return simulation.processes.values.find { it.member.processId == id }
     }
 
@@ -64,8 +69,8 @@
         val endMs = FAULT_AT_MS + OUTAGE_MS + 20_000
         val plain = longestUnownedMs("(a) lease only, 30 min outage, 10 seeds", 10, leaseOnly, endMs, ::outage)
         assertTrue(plain.first() > OUTAGE_MS - 2 * LEASE_MS)
-        val promised = longestUnownedMs("(b) deputy, 30 min outage, 10 seeds", 10, withDeputy, endMs, ::outage)
-        assertTrue(promised.last() <= 2 * RENEWAL_PERIOD_MS, "only lost messages may cause a gap: $promised")
+        val extended = longestUnownedMs("(b) deputy, 30 min outage, 10 seeds", 10, withDeputy, endMs, ::outage)
+        assertTrue(extended.last() <= 2 * RENEWAL_PERIOD_MS, "only lost messages may cause a gap: $extended")
     }
 
     @Test
--- a/ownership/src/test/kotlin/dev/bronzeshore/ownership/OwnershipSimulation.kt
+++ b/ownership/src/test/kotlin/dev/bronzeshore/ownership/OwnershipSimulation.kt
@@ -12,17 +12,17 @@
 import java.util.PriorityQueue
 import kotlin.random.Random
 
-/** What a run is made of; [reusesIds] lets a restarted process keep its id, against the contract of [Member]. */
-internal data class SimSettings(
-    val rules: OwnershipRules = OwnershipRules(promiseHorizonMs = 20_000, takeoverHorizonMs = 20_000),
+/** Settings of a run; [reusesIds] lets a restarted process keep its id, in violation of the contract of [Member]. */
+internal data class SimulationSettings(
+    val rules: OwnershipRules = OwnershipRules(deputyLeaseLimitMs = 20_000, openTakeoverDelayMs = 20_000),
     val reusesIds: Boolean = false,
     val faultsUntilMs: Long = 90_000,
     val untilMs: Long = 140_000,
     val faultEveryMs: Long = 2_500,
-    val slots: List<Member> = SLOTS,
+    val initialMembers: List<Member> = INITIAL_MEMBERS,
 )
 
-private val SLOTS =
+private val INITIAL_MEMBERS =
     listOf(
         Member("a1", "a", "north", "a1:1"),
         Member("a2", "a", "north", "a2:1"),
@@ -31,80 +31,87 @@
         Member("c1", "c", "south", "c1:1"),
     )
 
-/** Real time is the time of the events; each process sees it through its own clock. */
-internal class OwnershipSimulation(seed: Long, val settings: SimSettings = SimSettings()) {
+/** Events happen in real time; each process reads its own clock, which is offset from it. */
+internal class OwnershipSimulation(seed: Long, val settings: SimulationSettings = SimulationSettings()) {
     private class Event(val atMs: Long, val order: Long, val action: () -> Unit)
 
     val random = Random(seed)
-    val judge = Judge()
+    val checker = InvariantChecker()
     val table = FakeTable()
-    val processes = LinkedHashMap<String, SimProcess>()
-    val blocked = HashSet<Set<String>>()
+    val processes = LinkedHashMap<String, SimulatedProcess>()
+    val blockedLinks = HashSet<Set<String>>()
 
-    /** Addresses that cannot reach the table while it is up for others. */
+    /** Addresses that cannot reach the table while others can. */
     val cutFromTable = HashSet<String>()
     val gone = HashSet<String>()
     var latePercent = 1
-    var lostAnswerPercent = 3
+    var lostResponsePercent = 3
 
-    /** Writes that the table refuses while it answers reads. */
+    /** Percentage of writes that the table refuses while it serves reads. */
     var refusedWritePercent = 0
-    var steps = 0L
+    var eventCount = 0L
         private set
     var realMs = 0L
         private set
     private val events = PriorityQueue<Event>(compareBy({ it.atMs }, { it.order }))
-    private var scheduled = 0L
-    private var starts = 0
-    private var visible: List<Member> = emptyList()
+    private var scheduledCount = 0L
+    private var startCount = 0
+    private var visibleMembers: List<Member> = emptyList()
     private val key = ownerRowKey(DATA_CENTRE)
 
     init {
-        settings.slots.forEach { start(it) }
+        settings.initialMembers.forEach { start(it) }
         refreshMembers()
     }
 
     fun after(delayMs: Long, action: () -> Unit) {
-        events += Event(realMs + delayMs, scheduled++, action)
+        events += Event(realMs + delayMs, scheduledCount++, action)
     }
 
     fun run(): OwnershipSimulation {
-        while (events.isNotEmpty() && events.peek().atMs <= settings.untilMs && judge.firstFault == null) {
+        while (events.isNotEmpty() && events.peek().atMs <= settings.untilMs && checker.firstViolation == null) {
             val event = events.poll()
             realMs = event.atMs
             event.action()
-            steps += 1
-            judge.check(realMs, processes.values)
+            eventCount += 1
+            checker.check(realMs, processes.values)
         }
         return this
     }
 
-    fun owner(): SimProcess? = processes.values.find { it.mayAct(realMs) }
+    fun owner(): SimulatedProcess? = processes.values.find { it.mayAct(realMs) }
 
-    fun start(slot: Member) {
-        starts += 1
-        val id = if (settings.reusesIds) slot.processId else "${slot.processId}-$starts"
-        val process = SimProcess(slot.copy(processId = id), offset())
+    fun start(template: Member) {
+        startCount += 1
+        val id = if (settings.reusesIds) template.processId else "${template.processId}-$startCount"
+        val process = SimulatedProcess(template.copy(processId = id), clockOffset())
         val callbacks = OwnershipCallbacks(onGained = { process.gained = it }, onLost = {})
-        process.machine =
-            OwnershipMachine(DATA_CENTRE, process.member, { visible }, { it in gone }, callbacks, settings.rules)
-        processes[slot.address] = process
+        process.stateMachine =
+            OwnershipStateMachine(
+                DATA_CENTRE,
+                process.member,
+                { visibleMembers },
+                { it in gone },
+                callbacks,
+                settings.rules,
+            )
+        processes[template.address] = process
         scheduleTick(process, random.nextLong(RENEWAL_PERIOD_MS))
     }
 
-    fun offset(): Long = random.nextLong(-LARGEST_OFFSET_MS, LARGEST_OFFSET_MS + 1)
+    fun clockOffset(): Long = random.nextLong(-MAX_CLOCK_OFFSET_MS, MAX_CLOCK_OFFSET_MS + 1)
 
-    /** The process rows as read while the table is up: they still name a process for a while after its end. */
+    /** Members as read from the process rows while the table is up; they name a process for a while after its end. */
     private fun refreshMembers() {
         if (table.mode == TableMode.UP) {
             val live = processes.values.filter { it.alive }.map { it.member }
-            after(random.nextLong(PROCESS_ROW_LIFETIME_MS)) { visible = live }
+            after(random.nextLong(PROCESS_ROW_LIFETIME_MS)) { visibleMembers = live }
         }
         after(RENEWAL_PERIOD_MS) { refreshMembers() }
     }
 
-    /** Runs [action] in the process, after its pause if there is one, and never once it has crashed. */
-    private fun inProcess(process: SimProcess, action: () -> Unit) {
+    /** Runs [action] in the process, after its pause if it is paused, and not at all if it has crashed. */
+    private fun inProcess(process: SimulatedProcess, action: () -> Unit) {
         when {
             !process.alive -> Unit
             process.pausedUntilMs > realMs -> after(process.pausedUntilMs - realMs) { inProcess(process, action) }
@@ -112,117 +119,121 @@
         }
     }
 
-    private fun scheduleTick(process: SimProcess, delayMs: Long) =
+    private fun scheduleTick(process: SimulatedProcess, delayMs: Long) =
         after(delayMs) { inProcess(process) { tick(process) } }
 
-    private fun tick(process: SimProcess) {
-        val machine = process.machine
-        machine.beginTick(process.clock(realMs)).forEach { ask(process, it, PROMISE_ATTEMPTS) }
-        if (!process.tableBusy) tableStep(process) { machine.beginTableStep(process.clock(realMs)) }
-        val nextMs = machine.nextTickAtMs(process.clock(realMs)) - process.clock(realMs)
+    private fun tick(process: SimulatedProcess) {
+        val stateMachine = process.stateMachine
+        stateMachine.beginTick(process.clock(realMs)).forEach { requestDeputyLease(process, it, DEPUTY_CALL_ATTEMPTS) }
+        if (!process.tableBusy) tableStep(process) { stateMachine.beginTableStep(process.clock(realMs)) }
+        val nextMs = stateMachine.nextTickAtMs(process.clock(realMs)) - process.clock(realMs)
         scheduleTick(process, nextMs + random.nextLong(20))
     }
 
-    fun handOver(process: SimProcess) = inProcess(process) {
-        process.machine.stop(process.clock(realMs))
-        tableStep(process) { process.machine.handOverStep(process.clock(realMs)) }
+    fun handOver(process: SimulatedProcess) = inProcess(process) {
+        process.stateMachine.stop(process.clock(realMs))
+        tableStep(process) { process.stateMachine.handOverStep(process.clock(realMs)) }
     }
 
-    private fun tableStep(process: SimProcess, first: () -> TableStep) {
+    private fun tableStep(process: SimulatedProcess, first: () -> TableStep) {
         process.tableStep += 1
         process.tableBusy = true
         val number = process.tableStep
-        after(CALL_TIMEOUT_MS) {
+        after(TABLE_CALL_TIMEOUT_MS) {
             inProcess(process) {
                 if (process.tableBusy && process.tableStep == number) {
                     process.tableBusy = false
                     process.tableStep += 1
-                    process.machine.onTableTimeout(process.clock(realMs))
+                    process.stateMachine.onTableTimeout(process.clock(realMs))
                 }
             }
         }
-        carryOut(process, number, first())
+        executeStep(process, number, first())
     }
 
-    private fun carryOut(process: SimProcess, number: Long, step: TableStep) {
-        val machine = process.machine
+    private fun executeStep(process: SimulatedProcess, number: Long, step: TableStep) {
+        val stateMachine = process.stateMachine
         when (step) {
             is TableStep.Done -> process.tableBusy = false
 
             is TableStep.Read ->
                 after(networkDelayMs()) {
                     val result: Either<Fault, Row?> =
-                        if (reaches(process)) {
+                        if (reachesTable(process)) {
                             table.rows[key].right()
                         } else {
                             fault(ResultCode.STORE_UNAVAILABLE).left()
                         }
-                    answer(process, number) { machine.onRead(result, process.clock(realMs)) }
+                    respond(process, number) { stateMachine.onRead(result, process.clock(realMs)) }
                 }
 
             is TableStep.Write ->
                 after(networkDelayMs()) {
-                    arrive(process, step.transaction) { result ->
-                        answer(process, number) {
-                            machine.onWritten(step.transaction.writeId, result, process.clock(realMs))
+                    deliverWrite(process, step.transaction) { result ->
+                        respond(process, number) {
+                            stateMachine.onWritten(step.transaction.writeId, result, process.clock(realMs))
                         }
                     }
                 }
         }
     }
 
-    private fun answer(process: SimProcess, number: Long, next: () -> TableStep) = after(networkDelayMs()) {
-        inProcess(process) { if (process.tableStep == number) carryOut(process, number, next()) }
+    private fun respond(process: SimulatedProcess, number: Long, next: () -> TableStep) = after(networkDelayMs()) {
+        inProcess(process) { if (process.tableStep == number) executeStep(process, number, next()) }
     }
 
-    private fun reaches(process: SimProcess): Boolean =
+    private fun reachesTable(process: SimulatedProcess): Boolean =
         table.mode == TableMode.UP && process.member.address !in cutFromTable
 
-    /** During an outage a write is refused, vanishes, or takes effect later; otherwise only the answer may be lost. */
-    private fun arrive(process: SimProcess, transaction: Transaction, answer: (Either<Fault, WriteResult>) -> Unit) {
-        val kind = random.nextInt(100)
-        val arrives = reaches(process)
+    /** During an outage a write is refused, lost or applied later; otherwise it may be refused or its response lost. */
+    private fun deliverWrite(
+        process: SimulatedProcess,
+        transaction: Transaction,
+        onResult: (Either<Fault, WriteResult>) -> Unit,
+    ) {
+        val percentile = random.nextInt(100)
+        val isReachable = reachesTable(process)
         when {
-            !arrives && kind < 40 -> answer(fault(ResultCode.STORE_UNAVAILABLE).left())
+            !isReachable && percentile < 40 -> onResult(fault(ResultCode.STORE_UNAVAILABLE).left())
 
-            !arrives && kind < 60 -> Unit
+            !isReachable && percentile < 60 -> Unit
 
-            !arrives -> after(random.nextLong(8_000)) { arrive(process, transaction) {} }
+            !isReachable -> after(random.nextLong(8_000)) { deliverWrite(process, transaction) {} }
 
-            random.nextInt(100) < refusedWritePercent -> answer(fault(ResultCode.STORE_UNAVAILABLE).left())
+            random.nextInt(100) < refusedWritePercent -> onResult(fault(ResultCode.STORE_UNAVAILABLE).left())
 
             else -> {
                 val result = table.apply(transaction)
-                if (kind >=
-                    lostAnswerPercent
-                ) {
-                    answer(result.right())
+                if (percentile >= lostResponsePercent) {
+                    onResult(result.right())
                 } else {
-                    answer(fault(ResultCode.WRITE_UNKNOWN).left())
+                    onResult(fault(ResultCode.WRITE_UNKNOWN).left())
                 }
             }
         }
     }
 
-    private fun ask(process: SimProcess, call: DeputyCall, attempts: Int) {
-        var answered = false
+    private fun requestDeputyLease(process: SimulatedProcess, call: DeputyCall, attempts: Int) {
+        var hasResponse = false
         send(process.member.address, call.deputy.address) {
             val deputy = processes.getValue(call.deputy.address)
             inProcess(deputy) {
-                val promise = deputy.machine.onDeputyLeaseRequest(call.request, deputy.clock(realMs))
+                val response = deputy.stateMachine.onDeputyLeaseRequest(call.request, deputy.clock(realMs))
                 send(deputy.member.address, process.member.address) {
-                    answered = true
-                    inProcess(process) { process.machine.onPromise(promise, process.clock(realMs)) }
+                    hasResponse = true
+                    inProcess(process) { process.stateMachine.onDeputyLeaseResponse(response, process.clock(realMs)) }
                 }
             }
         }
         if (attempts == 1) return
-        after(PROMISE_TIMEOUT_MS) { if (!answered) inProcess(process) { ask(process, call, attempts - 1) } }
+        after(DEPUTY_CALL_TIMEOUT_MS) {
+            if (!hasResponse) inProcess(process) { requestDeputyLease(process, call, attempts - 1) }
+        }
     }
 
-    /** A message is lost, late or delivered twice now and then, and lost while its link is cut. */
+    /** A message is sometimes lost, late or delivered twice, and always lost while its link is blocked. */
     private fun send(from: String, to: String, deliver: () -> Unit) {
-        if (setOf(from, to) in blocked || random.nextInt(100) < 2) return
+        if (setOf(from, to) in blockedLinks || random.nextInt(100) < 2) return
         after(networkDelayMs(), deliver)
         if (random.nextInt(100) < 3) after(random.nextLong(6_000), deliver)
     }
--- a/ownership/src/test/kotlin/dev/bronzeshore/ownership/OwnershipSimulationTest.kt
+++ b/ownership/src/test/kotlin/dev/bronzeshore/ownership/OwnershipSimulationTest.kt
@@ -7,55 +7,55 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.EnumSource
 
-/** Runs many seeds of faults; real time is the judge of who may act. */
+/** Guards against two owners at the same real time, with random faults from many seeds. */
 class OwnershipSimulationTest {
-    private val standard = SimSettings()
+    private val defaults = SimulationSettings()
 
-    /** One rule of section 4.1 taken away. */
-    internal enum class BrokenRule(val change: (SimSettings) -> SimSettings) {
-        NO_DRIFT_MARGIN({ it.copy(rules = it.rules.copy(driftMs = 0)) }),
-        PROMISES_WHILE_TAKEOVER_IS_OPEN({ it.copy(rules = it.rules.copy(withdrawsBeforeTakeover = false)) }),
-        UNCHANGED_ROW_SETTLES_WRITE({ it.copy(rules = it.rules.copy(onlyNewVersionSettles = false)) }),
-        OLD_DEPUTY_COUNTS_DURING_CHANGE({ it.copy(rules = it.rules.copy(countsUnsettledRows = false)) }),
-        DEPUTY_FORGETS_PROMISES({ it.copy(rules = it.rules.copy(keepsOwnPromises = false)) }),
-        PROMISES_PAST_THE_HORIZON({ it.copy(rules = it.rules.copy(promiseHorizonMs = TABLE_OUTAGE_LIMIT_MS)) }),
+    /** One rule of section 4.1 of the design page that is disabled. */
+    internal enum class DisabledRule(val change: (SimulationSettings) -> SimulationSettings) {
+        NO_CLOCK_SKEW_MARGIN({ it.copy(rules = it.rules.copy(clockSkewMs = 0)) }),
+        LEASES_DURING_UNCERTAIN_TAKEOVER({ it.copy(rules = it.rules.copy(refusesLeasesDuringTakeover = false)) }),
+        UNCHANGED_ROW_RESOLVES_WRITE({ it.copy(rules = it.rules.copy(onlyNewVersionResolvesWrites = false)) }),
+        UNCERTAIN_ROWS_IGNORED({ it.copy(rules = it.rules.copy(considersUncertainRows = false)) }),
+        GRANTED_LEASES_IGNORED({ it.copy(rules = it.rules.copy(respectsGrantedLeases = false)) }),
+        LEASES_PAST_OPEN_TAKEOVER({ it.copy(rules = it.rules.copy(deputyLeaseLimitMs = TABLE_OUTAGE_LIMIT_MS)) }),
         RESTARTED_PROCESS_KEEPS_ITS_ID({ it.copy(reusesIds = true) }),
     }
 
-    private fun simulate(seed: Long, settings: SimSettings): OwnershipSimulation {
+    private fun simulate(seed: Long, settings: SimulationSettings): OwnershipSimulation {
         val simulation = OwnershipSimulation(seed, settings)
-        SimFaults(simulation).schedule()
+        FaultInjector(simulation).schedule()
         return simulation.run()
     }
 
     @Test
     fun `at most one process may act under faults, and ownership comes back afterwards`() {
-        var steps = 0L
+        var events = 0L
         var ownedMs = 0L
         for (seed in 1L..SEEDS) {
-            val simulation = simulate(seed, standard)
-            assertEquals(null, simulation.judge.firstFault, "seed $seed")
+            val simulation = simulate(seed, defaults)
+            assertEquals(null, simulation.checker.firstViolation, "seed $seed")
             assertNotNull(simulation.owner(), "seed $seed ends without an owner")
-            steps += simulation.steps
-            ownedMs += simulation.judge.ownedMs
+            events += simulation.eventCount
+            ownedMs += simulation.checker.ownedMs
         }
-        println("simulation: $SEEDS seeds, $steps steps, owned ${100 * ownedMs / (SEEDS * standard.untilMs)}% of time")
+        println("simulation: $SEEDS seeds, $events steps, owned ${100 * ownedMs / (SEEDS * defaults.untilMs)}% of time")
     }
 
     @ParameterizedTest
-    @EnumSource(BrokenRule::class)
-    internal fun `the judge finds two owners when a rule is missing`(broken: BrokenRule) {
-        val settings = broken.change(standard)
-        val found = (1L..BROKEN_SEEDS).firstNotNullOfOrNull { seed ->
-            simulate(seed, settings).judge.firstFault?.let { "seed $seed: $it" }
+    @EnumSource(DisabledRule::class)
+    internal fun `the checker finds a violation when a rule is disabled`(rule: DisabledRule) {
+        val settings = rule.change(defaults)
+        val found = (1L..DISABLED_RULE_SEEDS).firstNotNullOfOrNull { seed ->
+            simulate(seed, settings).checker.firstViolation?.let { "seed $seed: $it" }
         }
-        println("simulation: $broken $found")
-        assertTrue(found != null, "no seed up to $BROKEN_SEEDS shows why the rule $broken is needed")
+        println("simulation: $rule $found")
+        assertTrue(found != null, "no seed up to $DISABLED_RULE_SEEDS shows why the rule $rule is needed")
     }
 
     private companion object {
-        /** More seeds by `-Downership.seeds=`. */
+        /** `-Downership.seeds=` sets another number of seeds. */
         val SEEDS: Long = System.getProperty("ownership.seeds", "400").toLong()
-        const val BROKEN_SEEDS = 2_000L
+        const val DISABLED_RULE_SEEDS = 2_000L
     }
 }
