--- a/membership/src/main/kotlin/dev/bronzeshore/membership/FailureEvidence.kt
+++ b/membership/src/main/kotlin/dev/bronzeshore/membership/FailureTracker.kt
@@ -1,33 +1,33 @@
-/** Which jobs failed on which workers, as evidence against a worker. */
+/** Tracks which jobs failed on which workers, to find faulty workers. */
 package dev.bronzeshore.membership
 
 import dev.bronzeshore.core.ClockMs
 import dev.bronzeshore.core.deadlineIn
 
 /**
- * Counts the jobs that speak against a worker.
+ * Counts the jobs that implicate a worker.
  *
- * A job speaks against a worker if it failed there and either failed on no other worker or succeeded on more other
- * workers than it failed on. A job that fails in many places is itself broken and speaks against nobody. Each failure
- * counts until a stored deadline. Not thread-safe: it belongs to the control thread.
+ * A job implicates a worker if it failed there and either failed on no other worker or succeeded on more other workers
+ * than it failed on. A job that fails on many workers is itself faulty and implicates none of them. Each failure counts
+ * until a stored deadline. Not thread-safe: used on the control thread only.
  */
-public class FailureEvidence(private val clock: ClockMs, private val countsForMs: Long = COUNTS_FOR_MS) {
-    // In the order of the last failure, so that the oldest are found first.
+public class FailureTracker(private val clock: ClockMs, private val windowMs: Long = FAILURE_WINDOW_MS) {
+    // In the order of the last failure, oldest first.
     private val jobs = LinkedHashMap<String, JobOutcomes>()
     private val jobsByWorker = HashMap<String, MutableSet<String>>()
 
-    /** Records a failure and returns the other workers where this job failed: the case against them is weaker now. */
+    /** Records a failure and returns the other workers where this job failed: it may no longer implicate them. */
     public fun recordFailure(workerId: String, jobId: String): Set<String> {
-        forgetOld()
+        removeExpired()
         val outcomes = jobs.remove(jobId) ?: JobOutcomes()
-        outcomes.failedOn[workerId] = clock.deadlineIn(countsForMs)
+        outcomes.failedOn[workerId] = clock.deadlineIn(windowMs)
         outcomes.succeededOn -= workerId
         jobs[jobId] = outcomes
         jobsByWorker.getOrPut(workerId) { LinkedHashSet() } += jobId
         return outcomes.failedOn.keys - workerId
     }
 
-    /** Records a success; only successes of jobs that also failed somewhere tell anything. */
+    /** Records a success; successes of jobs that failed nowhere are not needed and not stored. */
     public fun recordSuccess(workerId: String, jobId: String) {
         val outcomes = jobs[jobId] ?: return
         if (workerId !in outcomes.failedOn) {
@@ -35,13 +35,13 @@
         }
     }
 
-    /** How many different jobs speak against the worker now. */
-    public fun jobsAgainst(workerId: String): Int {
+    /** Number of different jobs that implicate the worker now. */
+    public fun implicatingJobCount(workerId: String): Int {
         val nowMs = clock()
-        return jobsByWorker[workerId].orEmpty().count { jobId -> jobs[jobId]?.speaksAgainst(workerId, nowMs) == true }
+        return jobsByWorker[workerId].orEmpty().count { jobId -> jobs[jobId]?.implicates(workerId, nowMs) == true }
     }
 
-    /** Forgets the failures on a worker that has proved itself or has been replaced. */
+    /** Removes the failures on a worker that passed its probe or left the data centre. */
     public fun clear(workerId: String) {
         for (jobId in jobsByWorker.remove(workerId).orEmpty()) {
             val outcomes = jobs[jobId] ?: continue
@@ -52,10 +52,10 @@
         }
     }
 
-    /** Number of jobs that are remembered. */
+    /** Number of jobs with recorded failures. */
     internal val jobCount: Int get() = jobs.size
 
-    private fun forgetOld() {
+    private fun removeExpired() {
         val nowMs = clock()
         val oldest = jobs.iterator()
         while (oldest.hasNext()) {
@@ -64,11 +64,11 @@
                 return
             }
             oldest.remove()
-            outcomes.failedOn.keys.forEach { forget(it, jobId) }
+            outcomes.failedOn.keys.forEach { removeFailure(it, jobId) }
         }
     }
 
-    private fun forget(workerId: String, jobId: String) {
+    private fun removeFailure(workerId: String, jobId: String) {
         val ids = jobsByWorker[workerId] ?: return
         ids -= jobId
         if (ids.isEmpty()) {
@@ -80,7 +80,7 @@
         val failedOn = HashMap<String, Long>()
         val succeededOn = HashSet<String>()
 
-        fun speaksAgainst(workerId: String, nowMs: Long): Boolean {
+        fun implicates(workerId: String, nowMs: Long): Boolean {
             val untilMs = failedOn[workerId] ?: return false
             val failedElsewhere = failedOn.size - 1
             return untilMs > nowMs && (failedElsewhere == 0 || succeededOn.size > failedElsewhere)
@@ -88,10 +88,10 @@
     }
 
     public companion object {
-        /** An hour: a bad worker fails jobs within minutes, while chance failures of a good one are further apart. */
-        public const val COUNTS_FOR_MS: Long = 60L * 60 * 1_000
+        /** One hour: a faulty worker fails jobs within minutes; random failures of a healthy one are further apart. */
+        public const val FAILURE_WINDOW_MS: Long = 60L * 60 * 1_000
 
-        /** Bounds memory when a wave of broken jobs fails; twice the 4,100 jobs of a day. */
+        /** Limits memory use when many faulty jobs fail; twice the 4,100 jobs of a day. */
         internal const val MAX_JOBS: Int = 8_200
     }
 }
--- a/membership/src/main/kotlin/dev/bronzeshore/membership/MemberVm.kt
+++ b/membership/src/main/kotlin/dev/bronzeshore/membership/MemberVm.kt
@@ -1,31 +1,31 @@
-/** A VM as bronzeshore sees it after merging the platform's list with the operators' marks. */
+/** VM state after the platform's list and the operators' marks are merged. */
 package dev.bronzeshore.membership
 
 import dev.bronzeshore.core.Vm
 import dev.bronzeshore.core.VmMark
 
-/** Whether a VM is given work. */
+/** State of a VM after the platform's list and the operators' marks are merged. */
 public enum class EffectiveVmState {
-    /** Takes new work. */
+    /** Accepts new work. */
     LIVE,
 
-    /** Takes no new work; what runs there may end. */
+    /** Accepts no new work; work that runs there may finish. */
     LEAVING,
 
-    /** Nothing runs there, by the operators' statement. */
+    /** Operators stated that nothing runs there. */
     GONE,
 }
 
 /**
- * A VM of the view.
+ * A VM in [VmView].
  *
- * [keptUntilMs] is set for a VM that the list no longer shows: it leaves the view then.
+ * [retainedUntilMs] is set if the list no longer contains the VM, which is then removed from the view at this time.
  */
 public data class MemberVm(
     public val vm: Vm,
     public val effectiveState: EffectiveVmState,
     public val mark: VmMark? = null,
-    public val keptUntilMs: Long? = null,
+    public val retainedUntilMs: Long? = null,
 ) {
     /** True if the VM may be given new work. */
     public val accepting: Boolean get() = effectiveState == EffectiveVmState.LIVE
--- a/membership/src/main/kotlin/dev/bronzeshore/membership/Quarantine.kt
+++ b/membership/src/main/kotlin/dev/bronzeshore/membership/Quarantine.kt
@@ -1,4 +1,4 @@
-/** Keeps work away from workers that fail jobs which run elsewhere. */
+/** Quarantine of workers that fail jobs which succeed elsewhere or fail nowhere else. */
 package dev.bronzeshore.membership
 
 import dev.bronzeshore.core.ClockMs
@@ -8,7 +8,8 @@
 /**
  * A worker in quarantine.
  *
- * [untilMs] is when it is offered a probe task or, while the job [probeJobId] probes it, when the probe has passed.
+ * [untilMs] is the time from which it accepts a probe task or, while a task of [probeJobId] runs as its probe, the time
+ * at which the probe passes.
  */
 public data class QuarantinedWorker(
     public val workerId: String,
@@ -17,111 +18,111 @@
 )
 
 /**
- * Quarantine of one data centre.
+ * Quarantine of the workers of one data centre.
  *
- * A worker enters on the evidence of [JOBS_AGAINST] jobs if fewer than [maxQuarantined] workers are in quarantine, so
- * that a cause that all workers share takes away a tenth of them at most. At its deadline it is offered one probe task:
- * if that succeeds, or runs for [PROBE_MS] without a failure on the worker, the worker is released; otherwise the
- * quarantine starts again. A worker counts as quarantined until it is released. Not thread-safe: it belongs to the
- * control thread.
+ * A worker is quarantined if [MIN_IMPLICATING_JOBS] jobs implicate it (see [FailureTracker]) and fewer than
+ * [maxQuarantined] workers are in quarantine, so that a common cause removes a tenth of all workers at most. At its
+ * deadline it accepts one probe task: if that succeeds, or runs for [PROBE_MS] without a failure on the worker, the
+ * worker is released; otherwise the quarantine starts again. A worker counts as quarantined until it is released. Not
+ * thread-safe: used on the control thread only.
  */
-public class Quarantine(private val clock: ClockMs, private val evidence: FailureEvidence = FailureEvidence(clock)) {
+public class Quarantine(private val clock: ClockMs, private val failures: FailureTracker = FailureTracker(clock)) {
     private val log = ComponentLog("membership")
     private val entries = LinkedHashMap<String, QuarantinedWorker>()
     private var workers: Set<String> = emptySet()
 
-    /** Largest number of workers in quarantine at a time: a tenth, but at least one. */
+    /** Maximum number of workers in quarantine at a time: a tenth of all workers, but at least one. */
     public val maxQuarantined: Int get() = maxOf(1, workers.size / WORKERS_PER_QUARANTINED)
 
-    /** Sets the workers of the data centre; a worker that left and comes back starts anew. */
+    /** Sets the workers of the data centre; the failures on workers that left are discarded. */
     public fun setWorkers(workerIds: Set<String>) {
-        for (gone in workers - workerIds) {
-            release(gone)
+        for (removed in workers - workerIds) {
+            release(removed)
         }
         workers = workerIds
     }
 
-    /** A task of the job reported a failure on the worker. */
+    /** Records that a task of the job failed on the worker. */
     public fun recordFailure(workerId: String, jobId: String) {
         if (workerId !in workers) {
             return
         }
-        val alsoFailedOn = evidence.recordFailure(workerId, jobId)
-        alsoFailedOn.forEach(::releaseIfCleared)
-        val entry = current(workerId)
+        val otherWorkers = failures.recordFailure(workerId, jobId)
+        otherWorkers.forEach(::releaseIfNotImplicated)
+        val entry = activeEntry(workerId)
         when {
-            entry == null -> enterIfGuilty(workerId)
-            entry.probeJobId != null || clock() >= entry.untilMs -> enter(workerId)
+            entry == null -> quarantineIfImplicated(workerId)
+            entry.probeJobId != null || clock() >= entry.untilMs -> startQuarantine(workerId)
         }
     }
 
-    /** A task of the job succeeded on the worker. */
+    /** Records that a task of the job succeeded on the worker. */
     public fun recordSuccess(workerId: String, jobId: String) {
-        evidence.recordSuccess(workerId, jobId)
+        failures.recordSuccess(workerId, jobId)
         // Tasks that were started before the quarantine may still succeed; only the probe releases the worker.
-        if (current(workerId)?.probeJobId == jobId) {
+        if (activeEntry(workerId)?.probeJobId == jobId) {
             release(workerId)
         }
     }
 
-    /** A task of the job was started on the worker; if the worker was waiting for a probe, this task is the probe. */
+    /** Records that a task of the job was started on the worker; it is the probe if the worker is due for one. */
     public fun recordStart(workerId: String, jobId: String) {
-        val entry = current(workerId) ?: return
+        val entry = activeEntry(workerId) ?: return
         if (entry.probeJobId == null && clock() >= entry.untilMs) {
             entries[workerId] = entry.copy(untilMs = clock.deadlineIn(PROBE_MS), probeJobId = jobId)
         }
     }
 
-    /** True if the worker may be given a task: it is not in quarantine, or it is due for its probe. */
+    /** True if the worker accepts a task: it is not in quarantine, or it is due for its probe. */
     public fun accepts(workerId: String): Boolean {
-        val entry = current(workerId) ?: return true
+        val entry = activeEntry(workerId) ?: return true
         return entry.probeJobId == null && clock() >= entry.untilMs
     }
 
     /** The workers in quarantine, in the order in which they entered. */
-    public fun quarantined(): List<QuarantinedWorker> = entries.keys.toList().mapNotNull(::current)
+    public fun quarantined(): List<QuarantinedWorker> = entries.keys.toList().mapNotNull(::activeEntry)
 
-    /** Lets workers in that had to wait for room; called from time to time, for example with each heartbeat round. */
+    /** Quarantines workers that had to wait because [maxQuarantined] was reached; called periodically. */
     public fun quarantinePending() {
         quarantined()
         if (entries.size < maxQuarantined) {
-            workers.filter { it !in entries }.forEach(::enterIfGuilty)
+            workers.filter { it !in entries }.forEach(::quarantineIfImplicated)
         }
     }
 
-    private fun enterIfGuilty(workerId: String) {
-        if (evidence.jobsAgainst(workerId) < JOBS_AGAINST) {
+    private fun quarantineIfImplicated(workerId: String) {
+        if (failures.implicatingJobCount(workerId) < MIN_IMPLICATING_JOBS) {
             return
         }
         if (entries.size < maxQuarantined) {
-            enter(workerId)
+            startQuarantine(workerId)
         } else {
-            log.debug { "worker $workerId keeps its work: $maxQuarantined workers are in quarantine already" }
+            log.debug { "worker $workerId is not quarantined: the maximum of $maxQuarantined workers is reached" }
         }
     }
 
-    private fun enter(workerId: String) {
+    private fun startQuarantine(workerId: String) {
         val entry = QuarantinedWorker(workerId, clock.deadlineIn(QUARANTINE_MS))
         entries[workerId] = entry
         log.warn { "worker $workerId is in quarantine until ${entry.untilMs}" }
     }
 
-    // The jobs turned out to fail elsewhere as well, so it was not the worker.
-    private fun releaseIfCleared(workerId: String) {
-        if (workerId in entries && evidence.jobsAgainst(workerId) < JOBS_AGAINST) {
+    // The jobs also failed elsewhere, so the worker is not the cause.
+    private fun releaseIfNotImplicated(workerId: String) {
+        if (workerId in entries && failures.implicatingJobCount(workerId) < MIN_IMPLICATING_JOBS) {
             entries -= workerId
             log.info { "worker $workerId is released: its jobs fail elsewhere too" }
         }
     }
 
     private fun release(workerId: String) {
-        evidence.clear(workerId)
+        failures.clear(workerId)
         if (entries.remove(workerId) != null) {
             log.info { "worker $workerId is released" }
         }
     }
 
-    private fun current(workerId: String): QuarantinedWorker? {
+    private fun activeEntry(workerId: String): QuarantinedWorker? {
         val entry = entries[workerId] ?: return null
         if (entry.probeJobId != null && clock() >= entry.untilMs) {
             release(workerId)
@@ -131,13 +132,13 @@
     }
 
     public companion object {
-        /** Different jobs that must speak against a worker. */
-        public const val JOBS_AGAINST: Int = 3
+        /** Number of different jobs that must implicate a worker. */
+        public const val MIN_IMPLICATING_JOBS: Int = 3
 
-        /** Time in quarantine before a probe task. */
+        /** Time in quarantine before the worker accepts a probe task. */
         public const val QUARANTINE_MS: Long = 5L * 60 * 1_000
 
-        /** Workers that fail everything fail soon; a probe that runs this long has passed. */
+        /** A probe that runs this long passes: a worker that fails all its tasks fails them soon after their start. */
         public const val PROBE_MS: Long = 5L * 60 * 1_000
 
         private const val WORKERS_PER_QUARANTINED = 10
--- a/membership/src/main/kotlin/dev/bronzeshore/membership/VmView.kt
+++ b/membership/src/main/kotlin/dev/bronzeshore/membership/VmView.kt
@@ -12,105 +12,105 @@
 import dev.bronzeshore.core.deadlineIn
 
 /**
- * The VMs and whether they are given work.
+ * The VMs and their effective states.
  *
- * Rules, in this order:
- * 1. A mark `GONE` or `LEAVING` holds at once, whatever the list says.
- * 2. `LEAVING` in the list holds, also against a mark `JOINING`: the platform may take the VM away at any time.
- * 3. A VM that the list shows is live.
- * 4. A VM that the list does not show is live if it is marked `JOINING`, its description is known in the list's format
- *    (see [describe]), and the list has not shown it since the mark was set. From then on the mark has done its work.
- * 5. Any other VM that the list no longer shows is leaving, and is dropped at its deadline.
+ * Rules, in order of precedence:
+ * 1. A mark `GONE` or `LEAVING` applies at once, whatever the list says.
+ * 2. `LEAVING` in the list applies, even if the VM is marked `JOINING`: the platform may remove the VM at any time.
+ * 3. A listed VM is live.
+ * 4. A VM that is not listed is live if it is marked `JOINING`, a valid description of it is known (see
+ *    [addDescription]), and it has not been listed since the mark was set. Once it is listed, the mark has no effect.
+ * 5. Any other VM that is no longer listed is leaving, and is removed at its deadline.
  *
- * Not thread-safe: it belongs to the control thread.
+ * Not thread-safe: used on the control thread only.
  */
-public class VmView(private val clock: ClockMs, private val keepVanishedMs: Long = KEEP_VANISHED_MS) {
+public class VmView(private val clock: ClockMs, private val unlistedRetentionMs: Long = UNLISTED_RETENTION_MS) {
     private val log = ComponentLog("membership")
     private val known = HashMap<String, KnownVm>()
     private var marks: Map<String, VmMark> = emptyMap()
 
-    /** Takes the platform's list as read just now. */
+    /** Updates the view from the platform's list, which was just read. */
     public fun setList(vms: List<Vm>) {
         if (vms.isEmpty() && known.isNotEmpty()) {
-            // No fleet loses every VM between two reads, and believing it would stop all placement.
+            // All VMs do not disappear between two reads, and an empty view would stop all placement.
             log.warn { "the VM list is empty and is ignored" }
             return
         }
         val listed = HashSet<String>()
         for (vm in vms) {
             if (listed.add(vm.id)) {
-                takeListed(vm)
+                updateListed(vm)
             } else {
                 log.warn { "VM ${vm.id} is listed twice; the first entry counts" }
             }
         }
-        known.values.filter { it.vm.id !in listed }.forEach(::vanish)
+        known.values.filter { it.vm.id !in listed }.forEach(::markUnlisted)
     }
 
-    /** Takes the operators' marks as they are in force now. */
+    /** Replaces the operators' marks by those in force now. */
     public fun setMarks(marked: List<MarkedVm>) {
-        val now = marked.associate { it.vmId to it.mark }
-        for ((vmId, mark) in now) {
+        val newMarks = marked.associate { it.vmId to it.mark }
+        for ((vmId, mark) in newMarks) {
             if (mark == VmMark.JOINING && marks[vmId] != VmMark.JOINING) {
-                known[vmId]?.let { it.shownSinceJoining = it.listed }
+                known[vmId]?.let { it.listedSinceJoining = it.listed }
             }
         }
-        marks = now
+        marks = newMarks
     }
 
     /**
-     * Takes a description, in the list's format, of a VM that the list may not show yet; it is used only while the VM
-     * is marked `JOINING`. Says what is wrong with it, or null.
+     * Adds a description of a VM that may not be listed yet, in the list's format; it is used only while the VM is
+     * marked `JOINING`. Returns an error message if it is not valid, otherwise null.
      */
-    public fun describe(vm: Vm): String? {
-        val fault = VmFormat.faultOf(vm)
-        if (fault == null && known[vm.id]?.listed != true) {
-            known[vm.id] = KnownVm(vm, listed = false, keptUntilMs = clock.deadlineIn(keepVanishedMs))
+    public fun addDescription(vm: Vm): String? {
+        val error = VmValidator.validate(vm)
+        if (error == null && known[vm.id]?.listed != true) {
+            known[vm.id] = KnownVm(vm, listed = false, retainedUntilMs = clock.deadlineIn(unlistedRetentionMs))
         }
-        return fault
+        return error
     }
 
-    /** Keeps a VM that the list no longer shows until [untilMs], because tasks there have leases until then. */
-    public fun keepUntil(vmId: String, untilMs: Long) {
+    /** Retains a VM that is no longer listed until [untilMs] at least, because tasks there have leases until then. */
+    public fun retainUntil(vmId: String, untilMs: Long) {
         val vm = known[vmId] ?: return
         if (!vm.listed) {
-            vm.keptUntilMs = maxOf(vm.keptUntilMs, untilMs)
+            vm.retainedUntilMs = maxOf(vm.retainedUntilMs, untilMs)
         }
     }
 
-    /** All VMs in the order of their ids. */
+    /** All VMs, sorted by id. */
     public fun members(): List<MemberVm> {
         val nowMs = clock()
-        known.values.removeIf { !it.listed && !isJoining(it) && isOver(it, nowMs) }
-        return known.values.map(::member).sortedBy { it.vm.id }
+        known.values.removeIf { !it.listed && !isJoining(it) && isExpired(it, nowMs) }
+        return known.values.map(::toMember).sortedBy { it.vm.id }
     }
 
-    /** VMs that are marked `JOINING` but cannot be taken, because no description of them is known. */
-    public fun awaited(): List<String> {
+    /** Ids of VMs that are marked `JOINING` but cannot be used, because no description of them is known. */
+    public fun joiningWithoutDescription(): List<String> {
         val present = members().map { it.vm.id }.toSet()
         return marks.filter { it.value == VmMark.JOINING && it.key !in present }.keys.sorted()
     }
 
-    private fun takeListed(vm: Vm) {
-        val fault = VmFormat.faultOf(vm)
+    private fun updateListed(vm: Vm) {
+        val error = VmValidator.validate(vm)
         val entry = known[vm.id]
         when {
-            fault == null && entry == null -> known[vm.id] = KnownVm(vm, listed = true, keptUntilMs = 0)
-            fault == null && entry != null -> entry.show(vm)
-            entry == null -> log.warn { "VM ${vm.id} is not taken: $fault" }
-            else -> log.warn { "VM ${vm.id} keeps its last valid description: $fault" }
+            error == null && entry == null -> known[vm.id] = KnownVm(vm, listed = true, retainedUntilMs = 0)
+            error == null && entry != null -> entry.updateFromList(vm)
+            entry == null -> log.warn { "VM ${vm.id} is not taken: $error" }
+            else -> log.warn { "VM ${vm.id} keeps its last valid description: $error" }
         }
     }
 
-    private fun vanish(entry: KnownVm) {
+    private fun markUnlisted(entry: KnownVm) {
         if (entry.listed) {
             entry.listed = false
-            entry.keptUntilMs = clock.deadlineIn(keepVanishedMs)
+            entry.retainedUntilMs = clock.deadlineIn(unlistedRetentionMs)
             log.info { "VM ${entry.vm.id} is no longer listed; kept as leaving" }
         }
     }
 
-    private fun member(entry: KnownVm): MemberVm {
+    private fun toMember(entry: KnownVm): MemberVm {
         val mark = marks[entry.vm.id]
         val effectiveState =
             when {
@@ -121,28 +121,28 @@
                 else -> EffectiveVmState.LEAVING
             }
         val state = if (effectiveState == EffectiveVmState.LIVE) VmState.LIVE else VmState.LEAVING
-        val keptUntilMs = entry.keptUntilMs.takeUnless { entry.listed || isJoining(entry) }
-        return MemberVm(entry.vm.copy(state = state), effectiveState, mark, keptUntilMs)
+        val retainedUntilMs = entry.retainedUntilMs.takeUnless { entry.listed || isJoining(entry) }
+        return MemberVm(entry.vm.copy(state = state), effectiveState, mark, retainedUntilMs)
     }
 
     private fun isJoining(entry: KnownVm): Boolean =
-        !entry.listed && !entry.shownSinceJoining && marks[entry.vm.id] == VmMark.JOINING
+        !entry.listed && !entry.listedSinceJoining && marks[entry.vm.id] == VmMark.JOINING
 
-    private fun isOver(entry: KnownVm, nowMs: Long): Boolean =
-        nowMs >= entry.keptUntilMs || marks[entry.vm.id] == VmMark.GONE
+    private fun isExpired(entry: KnownVm, nowMs: Long): Boolean =
+        nowMs >= entry.retainedUntilMs || marks[entry.vm.id] == VmMark.GONE
 
-    private class KnownVm(var vm: Vm, var listed: Boolean, var keptUntilMs: Long) {
-        var shownSinceJoining = listed
+    private class KnownVm(var vm: Vm, var listed: Boolean, var retainedUntilMs: Long) {
+        var listedSinceJoining = listed
 
-        fun show(described: Vm) {
+        fun updateFromList(described: Vm) {
             vm = described
             listed = true
-            shownSinceJoining = true
+            listedSinceJoining = true
         }
     }
 
     public companion object {
-        /** By then every task lease that was granted before the VM vanished has ended by the worker's clock. */
-        public const val KEEP_VANISHED_MS: Long = TASK_LEASE_MS + 2 * MAX_CLOCK_SKEW_MS
+        /** By then all task leases granted before the VM left the list have expired, also by the worker's clock. */
+        public const val UNLISTED_RETENTION_MS: Long = TASK_LEASE_MS + 2 * MAX_CLOCK_SKEW_MS
     }
 }
--- a/membership/src/test/kotlin/dev/bronzeshore/membership/QuarantineTest.kt
+++ b/membership/src/test/kotlin/dev/bronzeshore/membership/QuarantineTest.kt
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
 
-/** Guards against a worker that fails everything, and against a quarantine that takes the fleet away. */
+/** Guards against a faulty worker that fails all jobs, and against a quarantine of too many workers. */
 class QuarantineTest {
     internal data class Case(val name: String, val expected: String, val steps: Steps.() -> Unit) {
         override fun toString() = name
@@ -20,9 +20,9 @@
 
         fun succeed(worker: String, vararg jobs: String) = jobs.forEach { quarantine.recordSuccess(worker, it) }
 
-        fun quarantinedW1() = fail("w1", "a", "b", "c")
+        fun quarantineW1() = fail("w1", "a", "b", "c")
 
-        fun later(ms: Long) {
+        fun advance(ms: Long) {
             nowMs += ms
         }
     }
@@ -40,8 +40,8 @@
     }
 
     @Test
-    fun `a failure of all jobs everywhere takes at most a tenth of any fleet`() {
-        for ((workers, most) in listOf(1 to 1, 9 to 1, 10 to 1, 30 to 3, 800 to 80)) {
+    fun `at most a tenth of the workers is quarantined if all jobs fail everywhere`() {
+        for ((workers, maxQuarantined) in listOf(1 to 1, 9 to 1, 10 to 1, 30 to 3, 800 to 80)) {
             val quarantine = Quarantine({ 0 })
             val ids = (1..workers).map { "w$it" }
             quarantine.setWorkers(ids.toSet())
@@ -49,30 +49,30 @@
                 (1..5).forEach { quarantine.recordFailure(id, "$id-job$it") }
             }
             quarantine.quarantinePending()
-            assertEquals(most, quarantine.quarantined().size, "$workers workers")
-            assertEquals(workers - most, ids.count(quarantine::accepts))
+            assertEquals(maxQuarantined, quarantine.quarantined().size, "$workers workers")
+            assertEquals(workers - maxQuarantined, ids.count(quarantine::accepts))
         }
     }
 
     @Test
-    fun `a wave of broken jobs does not fill the memory`() {
+    fun `the number of tracked jobs is limited and failures expire, guards against unbounded memory`() {
         var nowMs = 0L
-        val evidence = FailureEvidence({ nowMs })
-        repeat(20_000) { evidence.recordFailure("w${it % 30}", "job$it") }
-        assertTrue(evidence.jobCount <= FailureEvidence.MAX_JOBS)
-        nowMs = FailureEvidence.COUNTS_FOR_MS
-        evidence.recordFailure("w1", "last")
-        assertEquals(1, evidence.jobCount)
+        val failures = FailureTracker({ nowMs })
+        repeat(20_000) { failures.recordFailure("w${it % 30}", "job$it") }
+        assertTrue(failures.jobCount <= FailureTracker.MAX_JOBS)
+        nowMs = FailureTracker.FAILURE_WINDOW_MS
+        failures.recordFailure("w1", "last")
+        assertEquals(1, failures.jobCount)
     }
 
     internal companion object {
-        private const val REST_MS = Quarantine.QUARANTINE_MS
+        private const val QUARANTINE_MS = Quarantine.QUARANTINE_MS
 
         @JvmStatic
         fun cases() = listOf(
             Case("two jobs are not enough, however often they fail", "") { fail("w1", "a", "b", "a", "b") },
-            Case("three jobs that failed nowhere else", "w1 until 301000 refuses") { quarantinedW1() },
-            Case("jobs that fail elsewhere speak against nobody", "") {
+            Case("three jobs that failed nowhere else", "w1 until 301000 refuses") { quarantineW1() },
+            Case("jobs that fail elsewhere implicate no worker", "") {
                 fail("w2", "a", "b", "c")
                 fail("w1", "a", "b", "c")
             },
@@ -83,70 +83,70 @@
                 succeed("w5", "a")
                 fail("w1", "c")
             },
-            Case("a worker is released when its jobs turn out to be broken", "") {
-                quarantinedW1()
+            Case("a worker is released when its jobs also fail elsewhere", "") {
+                quarantineW1()
                 fail("w2", "a")
             },
-            Case("failures an hour apart do not add up", "") {
+            Case("failures expire after an hour", "") {
                 fail("w1", "a", "b")
-                later(FailureEvidence.COUNTS_FOR_MS)
+                advance(FailureTracker.FAILURE_WINDOW_MS)
                 fail("w1", "c")
             },
-            Case("the deadline offers a probe", "w1 until 301000 accepts") {
-                quarantinedW1()
-                later(REST_MS)
+            Case("a worker accepts a probe at its deadline", "w1 until 301000 accepts") {
+                quarantineW1()
+                advance(QUARANTINE_MS)
             },
             Case("only one probe is started", "w1 until 601000 refuses") {
-                quarantinedW1()
-                later(REST_MS)
+                quarantineW1()
+                advance(QUARANTINE_MS)
                 quarantine.recordStart("w1", "d")
             },
-            Case("a task that still ran ends without effect on the rest", "w1 until 301000 refuses") {
-                quarantinedW1()
+            Case("a task that was started before the quarantine has no effect on it", "w1 until 301000 refuses") {
+                quarantineW1()
                 succeed("w1", "d")
                 fail("w1", "e")
                 quarantine.recordStart("w1", "d")
             },
-            Case("a probe that succeeds releases", "") {
-                quarantinedW1()
-                later(REST_MS)
+            Case("a probe that succeeds releases the worker", "") {
+                quarantineW1()
+                advance(QUARANTINE_MS)
                 quarantine.recordStart("w1", "d")
                 succeed("w1", "d")
                 fail("w1", "x", "y")
             },
-            Case("an older task that succeeds during the probe does not release", "w1 until 601000 refuses") {
-                quarantinedW1()
-                later(REST_MS)
+            Case("another task that succeeds during the probe does not release the worker", "w1 until 601000 refuses") {
+                quarantineW1()
+                advance(QUARANTINE_MS)
                 quarantine.recordStart("w1", "d")
                 quarantine.recordStart("w1", "old")
                 succeed("w1", "old")
             },
-            Case("a probe that fails starts over", "w1 until 601010 refuses") {
-                quarantinedW1()
-                later(REST_MS)
+            Case("a probe that fails restarts the quarantine", "w1 until 601010 refuses") {
+                quarantineW1()
+                advance(QUARANTINE_MS)
                 quarantine.recordStart("w1", "d")
-                later(10)
+                advance(10)
                 fail("w1", "d")
             },
-            Case("a probe that keeps running releases", "") {
-                quarantinedW1()
-                later(REST_MS)
+            Case("a probe that runs long enough releases the worker", "") {
+                quarantineW1()
+                advance(QUARANTINE_MS)
                 quarantine.recordStart("w1", "d")
-                later(Quarantine.PROBE_MS)
+                advance(Quarantine.PROBE_MS)
             },
             Case(
-                "two of twenty at most; the third waits for room",
+                "two of twenty at most; the third waits until one is released",
                 "w2 until 301000 refuses, w3 until 301000 refuses",
             ) {
-                quarantinedW1()
+                quarantineW1()
                 fail("w2", "d", "e", "f")
                 fail("w3", "g", "h", "i")
                 assertTrue(quarantine.accepts("w3"))
                 fail("w9", "a")
                 quarantine.quarantinePending()
             },
-            Case("a worker that left and came back starts anew", "") {
-                quarantinedW1()
+            Case("a worker that left and came back has no recorded failures", "") {
+                quarantineW1()
                 quarantine.setWorkers(setOf("w2"))
                 quarantine.setWorkers(setOf("w1", "w2"))
                 fail("w1", "d", "e")
