--- a/ownership/src/main/kotlin/dev/bronzeshore/ownership/DeputyLeaseTracker.kt
+++ b/ownership/src/main/kotlin/dev/bronzeshore/ownership/DeputyLeaseTracker.kt
@@ -25,10 +25,9 @@
     }
 
     /** Members other than this process, without those that operators marked as gone. */
-    fun otherMembers(): List<Member> =
-        members()
-            .filter { it.processId != self.processId && !isGone(it.processId) }
-            .onEach { lastSeenMembers[it.processId] = it }
+    fun otherMembers(): List<Member> = members()
+        .filter { it.processId != self.processId && !isGone(it.processId) }
+        .onEach { lastSeenMembers[it.processId] = it }
 
     /** Also finds a process whose process row has expired, because its leases still extend ownership. */
     fun member(processId: String): Member? = lastSeenMembers[processId]
