--- a/ownership/src/main/kotlin/dev/bronzeshore/ownership/DataCentreOwnership.kt
+++ b/ownership/src/main/kotlin/dev/bronzeshore/ownership/DataCentreOwnership.kt
@@ -16,8 +16,8 @@
  * Ownership state of one data centre in one process; all calls are made on the control thread.
  *
  * A row of the table names the owner, its lease and its deputy. The owner renews the lease in the row and also requests
- * leases from the deputy, which does not take over while such a deputy lease lasts. Deputy leases extend ownership while
- * the table is unavailable, for [TABLE_OUTAGE_LIMIT_MS] at most.
+ * leases from the deputy, which does not take over while such a deputy lease lasts. Deputy leases extend ownership
+ * while the table is unavailable, for [TABLE_OUTAGE_LIMIT_MS] at most.
  *
  * [isGone] is true for a process that operators marked as no longer running (the mark is audited). [onGained] and
  * [onLost] are called on the control thread whenever this process becomes or stops being the owner.
