--- a/jobs/src/main/kotlin/dev/bronzeshore/jobs/DataCentreJobs.kt
+++ b/jobs/src/main/kotlin/dev/bronzeshore/jobs/DataCentreJobs.kt
@@ -17,7 +17,7 @@
 import kotlinx.coroutines.withTimeoutOrNull
 
 /** Time between heartbeats to one worker. */
-public const val HEARTBEAT_EVERY_MS: Long = 2_000
+public const val HEARTBEAT_PERIOD_MS: Long = 2_000
 
 /** Time between rounds of decisions while something may be placed. */
 private const val DECIDE_EVERY_MS = 20L
@@ -61,7 +61,7 @@
         private set
 
     /** Jobs that have not ended. */
-    public val openCount: Int get() = tracker.openJobs.size
+    public val openJobCount: Int get() = tracker.openJobs.size
 
     /** Takes the current view of the workers of this data centre. */
     public fun updateWorkers(candidates: List<WorkerCandidate>) {
@@ -100,12 +100,12 @@
 
     private suspend fun heartbeatLoop() {
         // Earlier reports do not count for recovery; a first round of them would delay it by a whole period.
-        val reportsCountAtMs = context.authority.previousOverAtMs + 2 * MAX_CLOCK_SKEW_MS
+        val reportsCountAtMs = context.authority.previousEffectsUntilMs + 2 * MAX_CLOCK_SKEW_MS
         delay(reportsCountAtMs + 1 - context.clock())
         while (true) {
             sessions.all.toList().forEach { context.scope.launch { dispatcher.heartbeat(it) } }
             dispatcher.giveUpSilent()
-            delay(HEARTBEAT_EVERY_MS)
+            delay(HEARTBEAT_PERIOD_MS)
         }
     }
 
--- a/jobs/src/main/kotlin/dev/bronzeshore/jobs/JobJournal.kt
+++ b/jobs/src/main/kotlin/dev/bronzeshore/jobs/JobJournal.kt
@@ -17,7 +17,7 @@
 import java.util.UUID
 
 /** Least time between two flushes of one data centre. */
-public const val JOURNAL_FLUSH_MS: Long = 100
+public const val JOURNAL_FLUSH_PERIOD_MS: Long = 100
 
 /** Most rows in one transaction. */
 public const val JOURNAL_BATCH_ROWS: Int = 100
@@ -53,7 +53,7 @@
             if (depth == 0) wakeUp.receive()
             val waitMs = nextFlushAtMs - clock()
             if (waitMs > 0) delay(waitMs)
-            nextFlushAtMs = clock() + JOURNAL_FLUSH_MS
+            nextFlushAtMs = clock() + JOURNAL_FLUSH_PERIOD_MS
             flush()
         }
     }
--- a/jobs/src/main/kotlin/dev/bronzeshore/jobs/JobRecovery.kt
+++ b/jobs/src/main/kotlin/dev/bronzeshore/jobs/JobRecovery.kt
@@ -46,7 +46,7 @@
 
     /** True once no copy that was not reported can still run. */
     fun isComplete(): Boolean {
-        val allLeasesOverAtMs = context.authority.previousOverAtMs + TASK_LEASE_MS + 2 * MAX_CLOCK_SKEW_MS
+        val allLeasesOverAtMs = context.authority.previousEffectsUntilMs + TASK_LEASE_MS + 2 * MAX_CLOCK_SKEW_MS
         return context.clock() > allLeasesOverAtMs || sessions.all.all { it.observedAtMs > 0 }
     }
 
--- a/jobs/src/main/kotlin/dev/bronzeshore/jobs/JobTracker.kt
+++ b/jobs/src/main/kotlin/dev/bronzeshore/jobs/JobTracker.kt
@@ -112,7 +112,7 @@
 
     private fun reportStart(job: TrackedJob, part: TrackedPart, status: TaskStatus) {
         val waitMs = status.startedAtMs - job.record.acceptedAtMs
-        context.listeners.onPartStarted(part.workerId, job.jobId, job.kind.name, waitMs)
+        context.callbacks.onPartStarted(part.workerId, job.jobId, job.kind.name, waitMs)
     }
 
     private fun succeed(job: TrackedJob, part: TrackedPart, status: TaskStatus) {
@@ -122,13 +122,13 @@
         part.result = PartResult(part.index, part.workerId, status.startedAtMs, status.output)
         part.state = PartState.ENDED
         placer.partEnded(job.jobId, part.index, part.workerId, requeue = false)
-        context.listeners.onPartSucceeded(part.workerId, job.jobId)
+        context.callbacks.onPartSucceeded(part.workerId, job.jobId)
         requeuer.endIfComplete(job)
     }
 
     private fun fail(job: TrackedJob, part: TrackedPart, status: TaskStatus) {
         part.failures++
-        context.listeners.onPartFailed(part.workerId, job.jobId)
+        context.callbacks.onPartFailed(part.workerId, job.jobId)
         outputs.acknowledge(part.workerId, status.task)
         if (part.failures >= MAX_FAILURES || !job.record.submission.idempotent) {
             requeuer.endEarly(job, part, JobState.FAILED, ResultCode.TASK_FAILED)
--- a/jobs/src/main/kotlin/dev/bronzeshore/jobs/JobsContext.kt
+++ b/jobs/src/main/kotlin/dev/bronzeshore/jobs/JobsContext.kt
@@ -14,7 +14,7 @@
     public val dataCentre: String,
     public val term: Long,
     /** From this time on nothing that the previous owner sent can still take effect. */
-    public val previousOverAtMs: Long,
+    public val previousEffectsUntilMs: Long,
     /** Counts the task attempts of this process; a term can be regained, so the count must not restart with it. */
     public val nextAttempt: () -> Long,
     /** Deadline of the right; re-read right before each effect. */
@@ -22,7 +22,7 @@
 )
 
 /** Work that the system itself stopped or gave up, for audit, quarantine and metrics. */
-public class JobListeners(
+public class JobCallbacks(
     public val onPartFailed: (workerId: String, jobId: String) -> Unit = { _, _ -> },
     public val onPartSucceeded: (workerId: String, jobId: String) -> Unit = { _, _ -> },
     public val onPartStarted: (workerId: String, jobId: String, kind: String, waitMs: Long) -> Unit = { _, _, _, _ -> },
@@ -42,7 +42,7 @@
     public val placer: WorkPlacer,
     public val scope: CoroutineScope,
     public val kindOf: (plan: String, kind: String) -> WorkKind?,
-    public val listeners: JobListeners = JobListeners(),
+    public val callbacks: JobCallbacks = JobCallbacks(),
     public val log: ComponentLog = ComponentLog("jobs"),
 ) {
     internal fun mayAct(): Boolean = clock() < authority.actUntilMs()
--- a/jobs/src/main/kotlin/dev/bronzeshore/jobs/TaskDispatcher.kt
+++ b/jobs/src/main/kotlin/dev/bronzeshore/jobs/TaskDispatcher.kt
@@ -50,7 +50,7 @@
         val job = tracker.find(preemption.jobId) ?: return
         val task = job.taskId(job.parts[preemption.part])
         sessions.find(preemption.workerId)?.addOrder(TaskOrder(task, preemption.action))
-        context.listeners.onPreemption(preemption.jobId, preemption.part, preemption.workerId)
+        context.callbacks.onPreemption(preemption.jobId, preemption.part, preemption.workerId)
         context.log.info { "Stopped part ${preemption.part} of job ${preemption.jobId} for more urgent work." }
     }
 
@@ -142,7 +142,7 @@
 
     private fun onReport(session: WorkerSession, report: WorkerReport) {
         session.failedCalls = 0
-        val isFromThisTerm = report.observedAtMs > context.authority.previousOverAtMs + MAX_CLOCK_SKEW_MS
+        val isFromThisTerm = report.observedAtMs > context.authority.previousEffectsUntilMs + MAX_CLOCK_SKEW_MS
         if (!isFromThisTerm || report.observedAtMs < session.observedAtMs) return
         session.observedAtMs = report.observedAtMs
         session.reportedCapacity = report.capacity
--- a/jobs/src/main/kotlin/dev/bronzeshore/jobs/WorkerSessions.kt
+++ b/jobs/src/main/kotlin/dev/bronzeshore/jobs/WorkerSessions.kt
@@ -50,7 +50,7 @@
         val ended = byId.values.filter { session ->
             val lastUseMs = maxOf(
                 session.lastLeaseUntilMs,
-                context.authority.previousOverAtMs + TASK_LEASE_MS,
+                context.authority.previousEffectsUntilMs + TASK_LEASE_MS,
             )
             session.workerId !in wantedIds && now > lastUseMs + 2 * MAX_CLOCK_SKEW_MS && session.parts().isEmpty()
         }
--- a/jobs/src/test/kotlin/dev/bronzeshore/jobs/JobJournalTest.kt
+++ b/jobs/src/test/kotlin/dev/bronzeshore/jobs/JobJournalTest.kt
@@ -86,6 +86,6 @@
             writer.cancel()
             table.writes
         }
-        assertTrue(writes.all { it <= 1_000 / JOURNAL_FLUSH_MS + 1 }, "writes in one second: $writes")
+        assertTrue(writes.all { it <= 1_000 / JOURNAL_FLUSH_PERIOD_MS + 1 }, "writes in one second: $writes")
     }
 }
--- a/server/src/main/kotlin/dev/bronzeshore/server/BronzeshoreProcess.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/BronzeshoreProcess.kt
@@ -10,7 +10,7 @@
 import dev.bronzeshore.core.ComponentLog
 import dev.bronzeshore.core.ProcessStatus
 import dev.bronzeshore.core.WorkKind
-import dev.bronzeshore.jobs.JobListeners
+import dev.bronzeshore.jobs.JobCallbacks
 import dev.bronzeshore.ownership.HandOver
 import dev.bronzeshore.ownership.Member
 import dev.bronzeshore.ownership.MemberDirectory
@@ -107,7 +107,7 @@
         isGone = { fleet.isGone(it) },
         callDeputy = { member, request -> gateway.call(member, PeerCalls.promise, request, PEER_TIMEOUT_MS) },
         kindOf = ::kindOf,
-        listeners = JobListeners(
+        callbacks = JobCallbacks(
             onPartFailed = { workerId, jobId ->
                 fleet.partFailed(workerId, jobId)
                 metrics.countPartFailure(workerId)
@@ -209,7 +209,7 @@
 
     private fun snapshot() = ProcessSnapshot(
         ownedDataCentres = dataCentres.all.count { it.ownership.mayAct() },
-        openJobs = dataCentres.all.sumOf { supervisor -> supervisor.jobs.fold({ 0 }, { it.openCount }) },
+        openJobs = dataCentres.all.sumOf { supervisor -> supervisor.jobs.fold({ 0 }, { it.openJobCount }) },
         quarantinedWorkers = fleet.quarantinedCount(),
         configurationVersion = configuration.current.version,
         requestsInFlight = requestRouter.inFlight,
--- a/server/src/main/kotlin/dev/bronzeshore/server/DataCentreSupervisor.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/DataCentreSupervisor.kt
@@ -16,7 +16,7 @@
 import dev.bronzeshore.core.WorkKind
 import dev.bronzeshore.core.WorkerApi
 import dev.bronzeshore.jobs.DataCentreJobs
-import dev.bronzeshore.jobs.JobListeners
+import dev.bronzeshore.jobs.JobCallbacks
 import dev.bronzeshore.jobs.JobsContext
 import dev.bronzeshore.jobs.OwnerAuthority
 import dev.bronzeshore.jobs.WorkerCandidate
@@ -47,7 +47,7 @@
     val isGone: (processId: String) -> Boolean,
     val callDeputy: suspend (Member, PromiseRequest) -> Either<Fault, Promise>,
     val kindOf: (plan: String, kind: String) -> WorkKind?,
-    val listeners: JobListeners,
+    val callbacks: JobCallbacks,
     val nextAttempt: () -> Long,
 )
 
@@ -82,7 +82,7 @@
     /** Slots are granted only once every grant of the previous owner has run out. */
     val ledger: Either<Fault, AllotmentLedger>
         get() = current().flatMap { tenure ->
-            if (context.clock() > tenure.previousOverAtMs + MAX_CLOCK_SKEW_MS) tenure.ledger.right() else notOwner().left()
+            if (context.clock() > tenure.previousEffectsUntilMs + MAX_CLOCK_SKEW_MS) tenure.ledger.right() else notOwner().left()
         }
 
     private fun current(): Either<Fault, Tenure> = tenure?.takeIf { ownership.mayAct() }?.right() ?: notOwner().left()
@@ -119,7 +119,7 @@
                 authority = OwnerAuthority(
                     dataCentre = dataCentre,
                     term = gained.term,
-                    previousOverAtMs = gained.previousEffectsUntilMs,
+                    previousEffectsUntilMs = gained.previousEffectsUntilMs,
                     nextAttempt = context.nextAttempt,
                     actUntilMs = { ownership.actUntilMs },
                 ),
@@ -129,7 +129,7 @@
                 placer = placer,
                 scope = scope,
                 kindOf = context.kindOf,
-                listeners = context.listeners,
+                callbacks = context.callbacks,
             ),
         )
         handled = jobs
@@ -155,7 +155,7 @@
     /** One uninterrupted ownership of a term by this process. */
     private class Tenure(
         val term: Long,
-        val previousOverAtMs: Long,
+        val previousEffectsUntilMs: Long,
         val scope: CoroutineScope,
         val placer: PlacementEngine,
         val jobs: DataCentreJobs,
