--- a/jobs/src/main/kotlin/dev/bronzeshore/jobs/DataCentreJobs.kt
+++ b/jobs/src/main/kotlin/dev/bronzeshore/jobs/DataCentreJobs.kt
@@ -1,15 +1,15 @@
-/** Job handling of one owned data centre: acceptance, dispatch, heartbeats, recovery, completion. */
+/** Job handling of one owned data centre: acceptance, dispatch, heartbeats, recovery and completion. */
 package dev.bronzeshore.jobs
 
 import arrow.core.Either
 import arrow.core.flatMap
 import arrow.core.left
 import arrow.core.right
-import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 import dev.bronzeshore.core.Fault
 import dev.bronzeshore.core.JobRecord
 import dev.bronzeshore.core.JobState
 import dev.bronzeshore.core.JobSubmission
+import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 import dev.bronzeshore.core.ResultCode
 import dev.bronzeshore.core.isFinal
 import kotlinx.coroutines.delay
@@ -19,15 +19,17 @@
 /** Time between heartbeats to one worker. */
 public const val HEARTBEAT_PERIOD_MS: Long = 2_000
 
-/** Time between rounds of decisions while something may be placed. */
-private const val DECIDE_EVERY_MS = 20L
+/** Time between two rounds of placement decisions. */
+private const val DECISION_PERIOD_MS = 20L
 private const val PLACEMENTS_PER_ROUND = 256
+
+/** Delay between attempts to recover, and between writes of the roster. */
 private const val RECOVERY_RETRY_MS = 200L
 
-/** How long a caller waits for a journal write before it is told that the outcome is unknown. */
+/** Timeout of a journal write, after which the caller is told that the outcome is unknown. */
 private const val ACCEPT_TIMEOUT_MS = 5_000L
 
-/** A job with what its owner knows beyond the row. */
+/** A job record with the owner's state that is not in the row. */
 public data class JobStatus(
     public val record: JobRecord,
     public val waitReason: String? = null,
@@ -36,16 +38,16 @@
 
 public data class RunningPart(public val part: Int, public val workerId: String, public val startedAtMs: Long)
 
-/** Lives for one term of ownership; all calls are made on the control thread. */
+/** Handles the jobs of a data centre for one term of ownership; all calls are made on the control thread. */
 public class DataCentreJobs(private val context: JobsContext) {
     private val sessions = WorkerSessions(context)
     private val tracker = JobTracker(
         context,
         TrackerOutputs(
-            order = { workerId, order -> sessions.find(workerId)?.addOrder(order) },
+            sendOrder = { workerId, order -> sessions.find(workerId)?.addOrder(order) },
             acknowledge = { workerId, task -> sessions.find(workerId)?.acknowledge(task) },
-            assigned = { workerId, job, part -> sessions.find(workerId)?.assign(job, part) },
-            end = ::end,
+            onAssigned = { workerId, job, part -> sessions.find(workerId)?.assign(job, part) },
+            endJob = ::endJob,
         ),
     )
     private val dispatcher = TaskDispatcher(context, tracker, sessions)
@@ -53,17 +55,17 @@
     private var journal: JobJournal? = null
     private var roster: WorkerRoster? = null
 
-    /** Without any view of the fleet every job would look impossible. */
+    /** False until the first list of workers; before it, every job would fail the check that it can be placed. */
     private var workersKnown = false
 
-    /** True once the parts of the former owner's jobs are accounted for. */
+    /** True once the state of all parts of the previous owner's jobs is known. */
     public var isRecovered: Boolean = false
         private set
 
     /** Jobs that have not ended. */
     public val openJobCount: Int get() = tracker.openJobs.size
 
-    /** Takes the current view of the workers of this data centre. */
+    /** Replaces the list of workers of this data centre. */
     public fun updateWorkers(candidates: List<WorkerCandidate>) {
         sessions.update(candidates)
         workersKnown = true
@@ -75,11 +77,11 @@
         context.scope.launch { journal?.run() }
         context.scope.launch { heartbeatLoop() }
         context.scope.launch { rosterLoop() }
-        while (!workersKnown || !recovery.isComplete()) delay(DECIDE_EVERY_MS)
-        recovery.queueUnaccounted()
+        while (!workersKnown || !recovery.isComplete()) delay(DECISION_PERIOD_MS)
+        recovery.requeueAllUnaccounted()
         isRecovered = true
         context.log.info { "Recovered ${tracker.openJobs.size} open jobs of ${context.authority.dataCentre}." }
-        decideLoop()
+        decisionLoop()
     }
 
     private suspend fun recover(): Boolean {
@@ -99,12 +101,12 @@
     }
 
     private suspend fun heartbeatLoop() {
-        // Earlier reports do not count for recovery; a first round of them would delay it by a whole period.
-        val reportsCountAtMs = context.authority.previousEffectsUntilMs + 2 * MAX_CLOCK_SKEW_MS
-        delay(reportsCountAtMs + 1 - context.clock())
+        // Recovery ignores reports from before this time; an earlier first round would delay it by a heartbeat period.
+        val reportsValidFromMs = context.authority.previousEffectsUntilMs + 2 * MAX_CLOCK_SKEW_MS
+        delay(reportsValidFromMs + 1 - context.clock())
         while (true) {
             sessions.all.toList().forEach { context.scope.launch { dispatcher.heartbeat(it) } }
-            dispatcher.giveUpSilent()
+            dispatcher.handleExpiredLeases()
             delay(HEARTBEAT_PERIOD_MS)
         }
     }
@@ -118,14 +120,14 @@
         }
     }
 
-    private suspend fun decideLoop() {
+    private suspend fun decisionLoop() {
         while (true) {
             if (context.mayAct()) dispatcher.dispatch(context.placer.decide(PLACEMENTS_PER_ROUND))
-            delay(DECIDE_EVERY_MS)
+            delay(DECISION_PERIOD_MS)
         }
     }
 
-    /** Accepts a job durably; a repeated submission with the same key returns the first one. */
+    /** Accepts a job durably; a repeated submission with the same key returns the record of the first one. */
     public suspend fun submit(
         plan: String,
         idempotencyKey: String,
@@ -142,7 +144,7 @@
         }
         val journal = journal?.takeIf { workersKnown && context.mayAct() } ?: return notOwner().left()
         val jobId = JobRows.jobId(plan, idempotencyKey)
-        tracker.find(jobId)?.let { return sameOrReused(it.record, submission) }
+        tracker.find(jobId)?.let { return matchSubmission(it.record, submission) }
         val record = JobRecord(jobId, plan, submission, context.authority.dataCentre, context.clock())
         context.placer.check(record.toWorkItem(kind)).onLeft { return it.left() }
         return withTimeoutOrNull(ACCEPT_TIMEOUT_MS) { accept(journal, TrackedJob(record, kind)) }
@@ -151,9 +153,9 @@
 
     private suspend fun accept(journal: JobJournal, job: TrackedJob): Either<Fault, JobRecord> {
         val entry = JournalEntry.acceptance(job.record)
-        // The write goes on when this caller gives up, and the job must then be queued all the same.
+        // The write continues after the caller times out, and a job that is written must be queued in any case.
         val append = context.scope.launch {
-            journal.append(entry).onRight { if (it == AppendResult.Written) queue(job) }
+            journal.append(entry).onRight { if (it == AppendResult.Written) enqueue(job) }
         }
         append.join()
         return entry.outcome.await().flatMap { result ->
@@ -161,18 +163,18 @@
         }
     }
 
-    private fun queue(job: TrackedJob) {
+    private fun enqueue(job: TrackedJob) {
         tracker.add(job)
         context.placer.submit(job.toWorkItem()).onLeft { tracker.refuse(job, it.code) }
     }
 
     private suspend fun readExisting(record: JobRecord): Either<Fault, JobRecord> =
         context.table.read(JobRows.jobKey(record.jobId)).flatMap { row ->
-            row?.let { sameOrReused(JobRows.parse(it), record.submission) }
+            row?.let { matchSubmission(JobRows.parse(it), record.submission) }
                 ?: Fault(ResultCode.WRITE_UNKNOWN, "The job row changed; repeat with the same key.").left()
         }
 
-    private fun sameOrReused(existing: JobRecord, submission: JobSubmission): Either<Fault, JobRecord> =
+    private fun matchSubmission(existing: JobRecord, submission: JobSubmission): Either<Fault, JobRecord> =
         if (existing.submission == submission) {
             existing.right()
         } else {
@@ -183,7 +185,7 @@
             ).left()
         }
 
-    /** What the owner knows of an open job, or null. */
+    /** Status of an open job, or null if it is not open here. */
     public fun status(jobId: String): JobStatus? = tracker.find(jobId)?.let(::statusOf)
 
     /** True if parts of an open job may be stopped and run again. */
@@ -205,18 +207,18 @@
         statusOf(job)
     }
 
-    private fun end(job: TrackedJob, state: JobState, code: ResultCode) {
+    private fun endJob(job: TrackedJob, state: JobState, code: ResultCode) {
         if (job.isEnding) return
         job.isEnding = true
         val results = job.parts.mapNotNull { it.result }
         job.record = job.record.copy(state = state, code = code, results = results, endedAtMs = context.clock())
         check(job.record.state.isFinal)
         val entry = JournalEntry.completion(job.record)
-        context.scope.launch { journal?.append(entry)?.onRight { forget(job) } }
+        context.scope.launch { journal?.append(entry)?.onRight { removeEnded(job) } }
     }
 
-    /** Workers may forget the tasks only now: until the row is written, a new owner needs their reports. */
-    private fun forget(job: TrackedJob) {
+    /** Acknowledges the tasks only now: until the row is written, a new owner needs the workers' reports of them. */
+    private fun removeEnded(job: TrackedJob) {
         job.parts.filter { it.result != null }.forEach { sessions.find(it.workerId)?.acknowledge(job.taskId(it)) }
         tracker.remove(job.jobId)
     }
--- a/jobs/src/main/kotlin/dev/bronzeshore/jobs/JobJournal.kt
+++ b/jobs/src/main/kotlin/dev/bronzeshore/jobs/JobJournal.kt
@@ -5,10 +5,10 @@
 import arrow.core.left
 import arrow.core.right
 import dev.bronzeshore.core.ClockMs
+import dev.bronzeshore.core.ComponentLog
 import dev.bronzeshore.core.Condition
 import dev.bronzeshore.core.Fault
 import dev.bronzeshore.core.Outcome
-import dev.bronzeshore.core.ComponentLog
 import dev.bronzeshore.core.ResultCode
 import dev.bronzeshore.core.TableApi
 import dev.bronzeshore.core.WriteResult
@@ -16,16 +16,16 @@
 import kotlinx.coroutines.delay
 import java.util.UUID
 
-/** Least time between two flushes of one data centre. */
+/** Minimum time between two flushes of one data centre. */
 public const val JOURNAL_FLUSH_PERIOD_MS: Long = 100
 
-/** Most rows in one transaction. */
+/** Maximum number of rows in one transaction. */
 public const val JOURNAL_BATCH_ROWS: Int = 100
 
-/** Wait before a batch is sent again after the table service failed. */
-private const val RETRY_AFTER_MS = 500L
+/** Delay before a retry after a fault of the table service. */
+private const val RETRY_DELAY_MS = 500L
 
-/** Called on the control thread; [run] writes until it is cancelled. */
+/** Used on the control thread; [run] writes until it is cancelled or another owner has taken over. */
 internal class JobJournal(
     private val table: TableApi,
     private val fence: Condition,
@@ -34,13 +34,13 @@
 ) {
     private val buffer = ArrayDeque<JournalEntry>()
     private val wakeUp = Channel<Unit>(Channel.CONFLATED)
-    private var unsettled: JournalBatch? = null
+    private var uncertainBatch: JournalBatch? = null
     private var nextFlushAtMs = 0L
     private var isFenced = false
 
-    val depth: Int get() = buffer.size + (unsettled?.entries?.size ?: 0)
+    val depth: Int get() = buffer.size + (uncertainBatch?.entries?.size ?: 0)
 
-    /** Queues an entry and waits until it is written or refused. */
+    /** Queues an entry and waits for its result. */
     suspend fun append(entry: JournalEntry): Either<Fault, AppendResult> {
         if (isFenced) return lostOwnership().left()
         buffer.addLast(entry)
@@ -59,14 +59,14 @@
     }
 
     private suspend fun flush() {
-        val batch = unsettled ?: takeBatch() ?: return
+        val batch = uncertainBatch ?: nextBatch() ?: return
         table.write(batch.transaction(fence)).fold(
             { fault -> onFault(batch, fault) },
             { result -> onResult(batch, result) },
         )
     }
 
-    private fun takeBatch(): JournalBatch? {
+    private fun nextBatch(): JournalBatch? {
         val entries = mutableListOf<JournalEntry>()
         var rows = 0
         while (buffer.isNotEmpty() && rows + buffer.first().rowCount <= JOURNAL_BATCH_ROWS) {
@@ -77,20 +77,20 @@
     }
 
     private fun onFault(batch: JournalBatch, fault: Fault) {
-        nextFlushAtMs = clock() + RETRY_AFTER_MS
-        if (fault.code.outcome == Outcome.UNKNOWN) batch.isUnsettled = true
-        if (batch.isUnsettled) {
-            unsettled = batch
+        nextFlushAtMs = clock() + RETRY_DELAY_MS
+        if (fault.code.outcome == Outcome.UNKNOWN) batch.isUncertain = true
+        if (batch.isUncertain) {
+            uncertainBatch = batch
             return
         }
-        val (refused, kept) = batch.entries.partition { it.mayBeRefused }
-        refused.forEach { it.outcome.complete(fault.left()) }
+        val (failed, kept) = batch.entries.partition { it.canFail }
+        failed.forEach { it.outcome.complete(fault.left()) }
         kept.asReversed().forEach { buffer.addFirst(it) }
     }
 
     private suspend fun onResult(batch: JournalBatch, result: WriteResult) {
         when (result) {
-            is WriteResult.Applied -> settle(batch)
+            is WriteResult.Applied -> completeBatch(batch)
             is WriteResult.Conflict -> onConflict(batch, result.key)
         }
     }
@@ -98,28 +98,28 @@
     private suspend fun onConflict(batch: JournalBatch, key: String) {
         if (key == fence.key) return stopWriting(batch)
         val wasApplied =
-            batch.isUnsettled && table.read(key).fold({ return keepUnsettled(batch) }, { it?.writeId == batch.writeId })
-        if (wasApplied) return settle(batch)
-        unsettled = null
+            batch.isUncertain && table.read(key).fold({ return retryLater(batch) }, { it?.writeId == batch.writeId })
+        if (wasApplied) return completeBatch(batch)
+        uncertainBatch = null
         val (superseded, others) = batch.entries.partition { it.condition.key == key }
         superseded.forEach { it.outcome.complete(AppendResult.Superseded.right()) }
         others.asReversed().forEach { buffer.addFirst(it) }
     }
 
-    private fun keepUnsettled(batch: JournalBatch) {
-        unsettled = batch
-        nextFlushAtMs = clock() + RETRY_AFTER_MS
+    private fun retryLater(batch: JournalBatch) {
+        uncertainBatch = batch
+        nextFlushAtMs = clock() + RETRY_DELAY_MS
     }
 
-    private fun settle(batch: JournalBatch) {
-        unsettled = null
+    private fun completeBatch(batch: JournalBatch) {
+        uncertainBatch = null
         batch.entries.forEach { it.outcome.complete(AppendResult.Written.right()) }
     }
 
     private fun stopWriting(batch: JournalBatch) {
         log.warn { "A newer owner holds the journal; this process stops writing." }
         isFenced = true
-        unsettled = null
+        uncertainBatch = null
         (batch.entries + buffer).forEach { it.outcome.complete(lostOwnership().left()) }
         buffer.clear()
     }
--- a/jobs/src/main/kotlin/dev/bronzeshore/jobs/JobRecovery.kt
+++ b/jobs/src/main/kotlin/dev/bronzeshore/jobs/JobRecovery.kt
@@ -1,11 +1,11 @@
-/** Rebuilds the state of a data centre after a takeover from open job rows and the workers' own reports. */
+/** Rebuilds the state of a data centre after a takeover from the rows of open jobs and the workers' reports. */
 package dev.bronzeshore.jobs
 
 import arrow.core.Either
 import arrow.core.right
-import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 import dev.bronzeshore.core.Fault
 import dev.bronzeshore.core.JobRecord
+import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 import dev.bronzeshore.core.Policy
 import dev.bronzeshore.core.RowRange
 import dev.bronzeshore.core.TASK_LEASE_MS
@@ -32,27 +32,27 @@
         }
     }
 
-    /** Tracks jobs of the former owner; their parts stay unaccounted until [isComplete]. */
+    /** Tracks jobs of the previous owner; parts that no worker reports stay unaccounted until [isComplete]. */
     fun adopt(records: List<JobRecord>) = records.forEach { record ->
         val kind = context.kindOf(record.plan, record.submission.kind) ?: defaultKind(record)
         val job = TrackedJob(record, kind)
         job.parts.forEach {
             it.state = PartState.UNACCOUNTED
-            // The former owner may have started and stopped it.
+            // The previous owner may have started and stopped it.
             it.mayHaveRun = true
         }
         tracker.add(job)
     }
 
-    /** True once no copy that was not reported can still run. */
+    /** True once no attempt that was not reported can still run. */
     fun isComplete(): Boolean {
-        val allLeasesOverAtMs = context.authority.previousEffectsUntilMs + TASK_LEASE_MS + 2 * MAX_CLOCK_SKEW_MS
-        return context.clock() > allLeasesOverAtMs || sessions.all.all { it.observedAtMs > 0 }
+        val allLeasesEndedAtMs = context.authority.previousEffectsUntilMs + TASK_LEASE_MS + 2 * MAX_CLOCK_SKEW_MS
+        return context.clock() > allLeasesEndedAtMs || sessions.all.all { it.observedAtMs > 0 }
     }
 
-    /** Queues the parts that no worker reported. */
-    fun queueUnaccounted() = tracker.openJobs.toList().forEach(tracker::settleUnaccounted)
+    /** Requeues the parts that no worker reported. */
+    fun requeueAllUnaccounted() = tracker.openJobs.toList().forEach(tracker::requeueUnaccounted)
 
-    /** The plan may have dropped the kind since the job was accepted; the job still runs. */
+    /** The kind may have been removed from the plan since the job was accepted; the job runs nevertheless. */
     private fun defaultKind(record: JobRecord) = WorkKind(record.submission.kind, Policy.BATCH)
 }
--- a/jobs/src/main/kotlin/dev/bronzeshore/jobs/JobRows.kt
+++ b/jobs/src/main/kotlin/dev/bronzeshore/jobs/JobRows.kt
@@ -1,4 +1,4 @@
-/** Keys and contents of the rows that hold jobs in the table service. */
+/** Keys and values of the job rows in the table service. */
 package dev.bronzeshore.jobs
 
 import dev.bronzeshore.core.JobRecord
@@ -17,7 +17,7 @@
 
     public fun openKey(record: JobRecord): String = openPrefix(record.dataCentre) + record.jobId
 
-    /** Derives the id from plan and idempotency key, so that a repeated submission names the same job. */
+    /** Derives the id from plan and idempotency key, so that a repeated submission refers to the same job. */
     public fun jobId(plan: String, idempotencyKey: String): String {
         val digest = MessageDigest.getInstance("SHA-256").digest("$plan\n$idempotencyKey".toByteArray())
         return digest.joinToString("") { "%02x".format(it) }.take(JOB_ID_HEX_DIGITS)
--- a/jobs/src/main/kotlin/dev/bronzeshore/jobs/JobTracker.kt
+++ b/jobs/src/main/kotlin/dev/bronzeshore/jobs/JobTracker.kt
@@ -10,19 +10,19 @@
 import dev.bronzeshore.core.TaskState
 import dev.bronzeshore.core.TaskStatus
 
-/** Attempts of one part before its job ends as failed. */
+/** Failed attempts of one part after which its job ends as failed. */
 private const val MAX_FAILURES = 3
 
-/** What the tracker asks of the other parts of this module. */
+/** Actions of the tracker on workers and on the journal. */
 internal class TrackerOutputs(
-    /** Sends an order to the worker with its next call. */
-    val order: (workerId: String, order: TaskOrder) -> Unit,
-    /** Tells the worker that it may forget an ended task. */
+    /** Sends an order to the worker with the next call. */
+    val sendOrder: (workerId: String, order: TaskOrder) -> Unit,
+    /** Tells the worker that it may discard an ended task. */
     val acknowledge: (workerId: String, task: TaskId) -> Unit,
-    /** Notes that a worker holds a part. */
-    val assigned: (workerId: String, job: TrackedJob, part: TrackedPart) -> Unit,
+    /** Records that a part is on a worker. */
+    val onAssigned: (workerId: String, job: TrackedJob, part: TrackedPart) -> Unit,
     /** Writes the final state of a job. */
-    val end: (job: TrackedJob, state: JobState, code: ResultCode) -> Unit,
+    val endJob: (job: TrackedJob, state: JobState, code: ResultCode) -> Unit,
 )
 
 internal class JobTracker(private val context: JobsContext, private val outputs: TrackerOutputs) {
@@ -42,7 +42,7 @@
         jobs.remove(jobId)
     }
 
-    /** Takes one line of a worker's report. */
+    /** Processes the status of one task in a worker's report. */
     fun onStatus(workerId: String, status: TaskStatus) {
         val job = jobs[status.task.jobId]
         val part = job?.parts?.getOrNull(status.task.part)
@@ -59,16 +59,16 @@
         }
     }
 
-    /** Stops a task that nobody waits for, or lets the worker forget it. */
+    /** Stops a running task that belongs to no current attempt, or acknowledges an ended one. */
     private fun discard(workerId: String, status: TaskStatus) {
         if (status.state == TaskState.RUNNING) {
-            outputs.order(workerId, TaskOrder(status.task, TaskAction.STOP))
+            outputs.sendOrder(workerId, TaskOrder(status.task, TaskAction.STOP))
         } else {
             outputs.acknowledge(workerId, status.task)
         }
     }
 
-    /** Takes over a task that another owner started, or that was given up too early and runs after all. */
+    /** Adopts a task that another owner started, or that was handled as lost and still runs. */
     private fun adopt(job: TrackedJob, part: TrackedPart, workerId: String, status: TaskStatus) {
         val isUseful = status.state == TaskState.RUNNING || status.state == TaskState.SUCCEEDED
         if (!isUseful) {
@@ -81,7 +81,7 @@
         part.attempt = status.task.attempt
         part.startBeforeMs = 0
         part.leaseUntilMs = status.leaseUntilMs
-        outputs.assigned(workerId, job, part)
+        outputs.onAssigned(workerId, job, part)
         advance(job, part, status)
     }
 
@@ -91,10 +91,10 @@
             TaskState.RUNNING -> confirmRunning(job, part, status)
             TaskState.SUCCEEDED -> succeed(job, part, status)
             TaskState.FAILED -> fail(job, part, status)
-            TaskState.LEASE_EXPIRED -> lose(job, part, status.task)
+            TaskState.LEASE_EXPIRED -> onPartLost(job, part, status.task)
             TaskState.STOPPED, TaskState.CHECKPOINTED, TaskState.REFUSED -> {
                 outputs.acknowledge(part.workerId, status.task)
-                requeuer.giveBack(job, part)
+                requeuer.requeue(job, part)
             }
         }
     }
@@ -107,7 +107,7 @@
             reportStart(job, part, status)
         }
         placer.reportUsage(job.jobId, part.index, part.workerId, status.used)
-        if (job.isCancelled) outputs.order(part.workerId, TaskOrder(status.task, TaskAction.STOP))
+        if (job.isCancelled) outputs.sendOrder(part.workerId, TaskOrder(status.task, TaskAction.STOP))
     }
 
     private fun reportStart(job: TrackedJob, part: TrackedPart, status: TaskStatus) {
@@ -133,26 +133,26 @@
         if (part.failures >= MAX_FAILURES || !job.record.submission.idempotent) {
             requeuer.endEarly(job, part, JobState.FAILED, ResultCode.TASK_FAILED)
         } else {
-            requeuer.giveBack(job, part)
+            requeuer.requeue(job, part)
         }
     }
 
-    /** Handles a part whose worker was lost, or that its worker stopped because the lease ran out. */
-    fun lose(job: TrackedJob, part: TrackedPart, task: TaskId) {
+    /** Handles a part whose worker was lost, or that its worker stopped because the lease expired. */
+    fun onPartLost(job: TrackedJob, part: TrackedPart, task: TaskId) {
         outputs.acknowledge(part.workerId, task)
         part.mayHaveRun = true
         if (job.record.submission.idempotent) {
-            requeuer.giveBack(job, part)
+            requeuer.requeue(job, part)
         } else {
             requeuer.endEarly(job, part, JobState.UNKNOWN, ResultCode.LEASE_LOST)
         }
     }
 
-    /** Puts a part that is on no worker any more back into the queue. */
-    fun giveBack(job: TrackedJob, part: TrackedPart) = requeuer.giveBack(job, part)
+    /** Requeues a part that is no longer on a worker. */
+    fun requeue(job: TrackedJob, part: TrackedPart) = requeuer.requeue(job, part)
 
-    /** Ends the wait for parts that no worker reported after a takeover. */
-    fun settleUnaccounted(job: TrackedJob) = requeuer.settleUnaccounted(job)
+    /** Requeues the parts that no worker reported after a takeover. */
+    fun requeueUnaccounted(job: TrackedJob) = requeuer.requeueUnaccounted(job)
 
     /** Ends a job that can never be placed. */
     fun refuse(job: TrackedJob, code: ResultCode) = requeuer.refuse(job, code)
--- a/jobs/src/main/kotlin/dev/bronzeshore/jobs/JobsContext.kt
+++ b/jobs/src/main/kotlin/dev/bronzeshore/jobs/JobsContext.kt
@@ -1,4 +1,4 @@
-/** What the job handling of one data centre needs from the rest of the process. */
+/** Dependencies of the job handling of one data centre. */
 package dev.bronzeshore.jobs
 
 import dev.bronzeshore.core.ClockMs
@@ -9,19 +9,19 @@
 import dev.bronzeshore.core.WorkerApi
 import kotlinx.coroutines.CoroutineScope
 
-/** The right to hand out a data centre, held for one [term]. */
+/** This process's ownership of a data centre for one [term]. */
 public class OwnerAuthority(
     public val dataCentre: String,
     public val term: Long,
-    /** From this time on nothing that the previous owner sent can still take effect. */
+    /** After this time nothing that the previous owner sent can take effect. */
     public val previousEffectsUntilMs: Long,
     /** Counts the task attempts of this process; a term can be regained, so the count must not restart with it. */
     public val nextAttempt: () -> Long,
-    /** Deadline of the right; re-read right before each effect. */
+    /** Time until which this process may act as owner; read again immediately before each effect. */
     public val actUntilMs: () -> Long,
 )
 
-/** Work that the system itself stopped or gave up, for audit, quarantine and metrics. */
+/** Callbacks for the starts, ends and preemptions of parts, used for metrics and quarantine. */
 public class JobCallbacks(
     public val onPartFailed: (workerId: String, jobId: String) -> Unit = { _, _ -> },
     public val onPartSucceeded: (workerId: String, jobId: String) -> Unit = { _, _ -> },
@@ -30,9 +30,9 @@
 )
 
 /**
- * Context of one owned data centre; all of it is used on the control thread that [scope] runs on.
+ * Context of one owned data centre, used only on the control thread that [scope] runs on.
  *
- * [kindOf] finds a kind of work in the current configuration.
+ * [kindOf] looks up a kind of work in the current configuration.
  */
 public class JobsContext(
     public val authority: OwnerAuthority,
--- a/jobs/src/main/kotlin/dev/bronzeshore/jobs/JournalEntry.kt
+++ b/jobs/src/main/kotlin/dev/bronzeshore/jobs/JournalEntry.kt
@@ -1,4 +1,4 @@
-/** One durable change of a job, waiting to be written with others. */
+/** Durable changes of jobs, which the journal writes in batches. */
 package dev.bronzeshore.jobs
 
 import arrow.core.Either
@@ -10,7 +10,7 @@
 import dev.bronzeshore.core.WireJson
 import kotlinx.coroutines.CompletableDeferred
 
-/** How a journal entry ended. */
+/** Result of a journal entry. */
 internal sealed interface AppendResult {
     data object Written : AppendResult
 
@@ -19,15 +19,17 @@
 }
 
 /**
- * [condition] makes a repeated transaction harmless: once the entry has been applied, the condition no longer holds.
+ * One durable change of a job.
  *
- * An entry with [mayBeRefused] fails when the table service is unavailable; the others are retried until written.
+ * [condition] makes the transaction safe to repeat: once the entry has been applied, the condition no longer holds.
+ *
+ * An entry with [canFail] fails when the table service is unavailable; the others are retried until written.
  */
 internal class JournalEntry private constructor(
     val condition: Condition,
     val puts: List<Put>,
     val deletes: List<String>,
-    val mayBeRefused: Boolean,
+    val canFail: Boolean,
 ) {
     val outcome: CompletableDeferred<Either<Fault, AppendResult>> = CompletableDeferred()
 
@@ -38,14 +40,14 @@
             condition = Condition(JobRows.jobKey(record.jobId), version = 0),
             puts = JobRows.putsFor(record),
             deletes = emptyList(),
-            mayBeRefused = true,
+            canFail = true,
         )
 
         fun completion(record: JobRecord) = JournalEntry(
             condition = Condition(JobRows.jobKey(record.jobId), ACCEPTED_VERSION),
             puts = listOf(Put(JobRows.jobKey(record.jobId), WireJson.encodeToString(record))),
             deletes = listOf(JobRows.openKey(record)),
-            mayBeRefused = false,
+            canFail = false,
         )
 
         /** A job row is written once at acceptance and once at completion. */
@@ -53,10 +55,10 @@
     }
 }
 
-/** Entries that are written together under one write identity. */
+/** Entries that are written in one transaction with one write id. */
 internal class JournalBatch(val writeId: String, val entries: List<JournalEntry>) {
-    /** True once an attempt may have taken effect; such a batch is repeated unchanged until the table settles it. */
-    var isUnsettled: Boolean = false
+    /** True once an attempt may have taken effect; the batch is then repeated unchanged until the outcome is known. */
+    var isUncertain: Boolean = false
 
     fun transaction(fence: Condition) = Transaction(
         writeId = writeId,
--- a/jobs/src/main/kotlin/dev/bronzeshore/jobs/JournalFence.kt
+++ b/jobs/src/main/kotlin/dev/bronzeshore/jobs/JournalFence.kt
@@ -1,4 +1,4 @@
-/** Keeps the journal of a former owner from writing after a takeover. */
+/** Fencing of the journal: prevents writes of a previous owner after a takeover. */
 package dev.bronzeshore.jobs
 
 import arrow.core.Either
@@ -17,10 +17,10 @@
 import java.util.UUID
 
 /**
- * Takes over the row `journal/<dataCentre>` for a term and returns the condition for all later writes of that term.
+ * Writes the term to the row `journal/<dataCentre>` and returns the condition that all later writes of that term carry.
  *
- * Without it an acceptance that a former owner sent before its lease ended could land after the new owner has read
- * the open jobs, and the job would never run.
+ * Without it, an acceptance that a previous owner sent before its lease ended could be written after the new owner has
+ * read the open jobs, and the job would never run.
  */
 internal class JournalFence(private val table: TableApi, private val dataCentre: String) {
     private val key = "journal/$dataCentre"
@@ -37,13 +37,13 @@
         val writeId = UUID.randomUUID().toString()
         val transaction = Transaction(writeId, listOf(Condition(key, oldVersion)), listOf(Put(key, term.toString())))
         return table.write(transaction).fold(
-            { fault -> if (fault.code.outcome == Outcome.UNKNOWN) settle(writeId) else fault.left() },
-            { result -> if (result is WriteResult.Applied) fenceAt(oldVersion + 1) else settle(writeId) },
+            { fault -> if (fault.code.outcome == Outcome.UNKNOWN) confirmWrite(writeId) else fault.left() },
+            { result -> if (result is WriteResult.Applied) fenceAt(oldVersion + 1) else confirmWrite(writeId) },
         )
     }
 
-    /** Re-reads the row: its write identity tells whether the write took effect. */
-    private suspend fun settle(writeId: String): Either<Fault, Condition> = table.read(key).flatMap { row: Row? ->
+    /** Reads the row again; its write id shows whether the write took effect. */
+    private suspend fun confirmWrite(writeId: String): Either<Fault, Condition> = table.read(key).flatMap { row: Row? ->
         if (row?.writeId == writeId) {
             fenceAt(row.version)
         } else {
--- a/jobs/src/main/kotlin/dev/bronzeshore/jobs/PartRequeuer.kt
+++ b/jobs/src/main/kotlin/dev/bronzeshore/jobs/PartRequeuer.kt
@@ -1,4 +1,4 @@
-/** Decides what follows when a part is on no worker any more: another attempt, a gang restart, or the job's end. */
+/** Decides what follows when a part is no longer on a worker: another attempt, a gang restart or the end of the job. */
 package dev.bronzeshore.jobs
 
 import dev.bronzeshore.core.JobState
@@ -8,8 +8,8 @@
 import dev.bronzeshore.core.WorkPlacer
 
 internal class PartRequeuer(private val placer: WorkPlacer, private val outputs: TrackerOutputs) {
-    /** Puts a part that is on no worker any more back into the queue. */
-    fun giveBack(job: TrackedJob, part: TrackedPart) {
+    /** Requeues a part that is no longer on a worker, or holds it if its job is a gang or cancelled. */
+    fun requeue(job: TrackedJob, part: TrackedPart) {
         when {
             job.isCancelled || job.startsTogether -> hold(job, part)
             else -> {
@@ -19,18 +19,18 @@
         }
     }
 
-    /** Waits for the other parts: a gang starts again whole, and a cancelled job ends once no part runs. */
+    /** Stops the other parts; once none is on a worker, the whole gang restarts or the cancelled job ends. */
     private fun hold(job: TrackedJob, part: TrackedPart) {
         if (part.isOnWorker) placer.partEnded(job.jobId, part.index, part.workerId, requeue = false)
         part.state = PartState.HELD
         stopRunningParts(job)
         if (job.parts.none { it.isOnWorker }) {
-            if (job.isCancelled) outputs.end(job, JobState.CANCELLED, cancelCode(job)) else restartGang(job)
+            if (job.isCancelled) outputs.endJob(job, JobState.CANCELLED, cancelCode(job)) else restartGang(job)
         }
     }
 
-    /** Ends the wait for parts that no worker reported after a takeover. */
-    fun settleUnaccounted(job: TrackedJob) {
+    /** Requeues the parts that no worker reported after a takeover. */
+    fun requeueUnaccounted(job: TrackedJob) {
         val missing = job.parts.filter { it.state == PartState.UNACCOUNTED }
         if (missing.isEmpty() || job.isEnding) return
         val isPartOfRunningGang = job.startsTogether && missing.size < job.parts.size
@@ -48,17 +48,17 @@
         placer.submit(job.toWorkItem()).onLeft { refuse(job, it.code) }
     }
 
-    /** Ends a job that can never be placed; one that may have run is not reported as "not run". */
+    /** Ends a job that can never be placed; a job that may have run is not reported as not run. */
     fun refuse(job: TrackedJob, code: ResultCode) {
         when {
-            !job.mayHaveRun -> outputs.end(job, JobState.REFUSED, code)
+            !job.mayHaveRun -> outputs.endJob(job, JobState.REFUSED, code)
             code == ResultCode.DEADLINE_PASSED -> placer.submit(job.toWorkItem()).onLeft { refuse(job, it.code) }
-            else -> outputs.end(job, JobState.UNKNOWN, ResultCode.OUTCOME_UNKNOWN)
+            else -> outputs.endJob(job, JobState.UNKNOWN, ResultCode.OUTCOME_UNKNOWN)
         }
     }
 
     private fun stopRunningParts(job: TrackedJob) = job.parts.filter { it.isOnWorker }.forEach {
-        outputs.order(it.workerId, TaskOrder(job.taskId(it), TaskAction.STOP))
+        outputs.sendOrder(it.workerId, TaskOrder(job.taskId(it), TaskAction.STOP))
     }
 
     /** Ends a job before all of its parts have ended; the others are stopped. */
@@ -67,14 +67,17 @@
         placer.partEnded(job.jobId, part.index, part.workerId, requeue = false)
         placer.cancel(job.jobId)
         stopRunningParts(job)
-        outputs.end(job, state, code)
+        outputs.endJob(job, state, code)
     }
 
     /** Ends a job whose last part has ended. */
     fun endIfComplete(job: TrackedJob) {
         when {
-            job.parts.all { it.state == PartState.ENDED } -> outputs.end(job, JobState.SUCCEEDED, ResultCode.OK)
-            job.isCancelled && job.parts.none { it.isOnWorker } -> outputs.end(job, JobState.CANCELLED, cancelCode(job))
+            job.parts.all { it.state == PartState.ENDED } -> outputs.endJob(job, JobState.SUCCEEDED, ResultCode.OK)
+            job.isCancelled &&
+                job.parts.none {
+                    it.isOnWorker
+                } -> outputs.endJob(job, JobState.CANCELLED, cancelCode(job))
         }
     }
 
@@ -84,11 +87,11 @@
         job.isCancelled = true
         placer.cancel(job.jobId)
         stopRunningParts(job)
-        val mayRunUnseen = job.parts.any { it.isOnWorker || it.state == PartState.UNACCOUNTED }
-        if (!mayRunUnseen) outputs.end(job, JobState.CANCELLED, cancelCode(job))
+        val mayStillRun = job.parts.any { it.isOnWorker || it.state == PartState.UNACCOUNTED }
+        if (!mayStillRun) outputs.endJob(job, JobState.CANCELLED, cancelCode(job))
     }
 
-    /** "Not run" is answered only if no part ever started. */
+    /** `CANCELLED` means not run, so it is returned only if no part may have started. */
     private fun cancelCode(job: TrackedJob): ResultCode =
         if (job.mayHaveRun) ResultCode.CANCELLED_LATE else ResultCode.CANCELLED
 }
--- a/jobs/src/main/kotlin/dev/bronzeshore/jobs/TaskDispatcher.kt
+++ b/jobs/src/main/kotlin/dev/bronzeshore/jobs/TaskDispatcher.kt
@@ -1,9 +1,9 @@
-/** Sends the placer's decisions to workers and takes their reports. */
+/** Sends the placer's decisions to workers and processes their reports. */
 package dev.bronzeshore.jobs
 
-import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 import dev.bronzeshore.core.Decisions
 import dev.bronzeshore.core.Fault
+import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
 import dev.bronzeshore.core.Outcome
 import dev.bronzeshore.core.Placement
 import dev.bronzeshore.core.Preemption
@@ -16,10 +16,10 @@
 import dev.bronzeshore.core.WorkerReport
 import kotlinx.coroutines.launch
 
-/** Attempt numbers of one term; terms never share numbers, so a new owner cannot repeat one. */
+/** Range of attempt numbers of one term; ranges do not overlap, so a new owner cannot reuse a number. */
 private const val ATTEMPTS_PER_TERM = 1_000_000L
 
-/** Leases are renewed when a third has passed: renewing with each heartbeat would send five times as many bytes. */
+/** Leases are renewed after a third of their duration; renewal with each heartbeat would send five times the bytes. */
 private const val RENEW_BELOW_MS = TASK_LEASE_MS * 2 / 3
 
 /** Consecutive failed calls after which a worker gets no new work. */
@@ -30,7 +30,7 @@
     private val tracker: JobTracker,
     private val sessions: WorkerSessions,
 ) {
-    /** Carries out one round of decisions; does nothing without the right to act. */
+    /** Executes one round of decisions. Starts are sent only while this process may act as owner. */
     fun dispatch(decisions: Decisions) {
         decisions.refusals.forEach { refusal ->
             tracker.find(refusal.jobId)?.let { tracker.refuse(it, refusal.fault.code) }
@@ -60,7 +60,7 @@
         check(part.state == PartState.PENDING) { "part ${part.index} of ${job.jobId} placed while ${part.state}" }
         val session = sessions.find(placement.workerId)
         if (session == null) {
-            tracker.giveBack(job, part.apply { workerId = placement.workerId })
+            tracker.requeue(job, part.apply { workerId = placement.workerId })
             return null
         }
         part.state = PartState.STARTING
@@ -70,10 +70,10 @@
         part.startBeforeMs = minOf(context.authority.actUntilMs(), job.toWorkItem().startBeforeMs ?: Long.MAX_VALUE)
         part.leaseUntilMs = context.clock() + TASK_LEASE_MS
         session.lastLeaseUntilMs = maxOf(session.lastLeaseUntilMs, part.leaseUntilMs)
-        return startOf(job, part)
+        return createTaskStart(job, part)
     }
 
-    private fun startOf(job: TrackedJob, part: TrackedPart) = TaskStart(
+    private fun createTaskStart(job: TrackedJob, part: TrackedPart) = TaskStart(
         task = job.taskId(part),
         size = job.record.submission.size,
         kind = job.kind.name,
@@ -91,17 +91,17 @@
                 val job = tracker.find(start.task.jobId)
                 val part = job?.parts?.get(start.task.part)
                 val isCurrent = part?.state == PartState.STARTING && part.attempt == start.task.attempt
-                if (job != null && part != null && isCurrent) tracker.giveBack(job, part)
+                if (job != null && part != null && isCurrent) tracker.requeue(job, part)
             }
         }
     }
 
-    /** Renews all leases on a worker and takes its report. */
+    /** Renews the leases that are due on a worker and processes its report. */
     suspend fun heartbeat(session: WorkerSession) {
         if (context.mayAct()) exchange(session, starts = emptyList(), renewals = renewalsFor(session))
     }
 
-    /** A worker that does not answer gets no renewals, so that its leases end and its parts can start elsewhere. */
+    /** A worker that does not respond gets no renewals, so that its leases end and its parts can start elsewhere. */
     private fun renewalsFor(session: WorkerSession): List<TaskRenewal> {
         if (session.failedCalls >= FAILED_CALLS_LIMIT) return emptyList()
         val leaseUntilMs = context.clock() + TASK_LEASE_MS
@@ -127,7 +127,7 @@
                 fault
             },
             { report ->
-                session.delivered(orders, acknowledged)
+                session.markDelivered(orders, acknowledged)
                 onReport(session, report)
                 null
             },
@@ -136,7 +136,7 @@
 
     private fun onFailedCall(session: WorkerSession) {
         session.failedCalls++
-        if (session.failedCalls >= FAILED_CALLS_LIMIT) session.isTrusted = false
+        if (session.failedCalls >= FAILED_CALLS_LIMIT) session.isResponsive = false
         sessions.publish(session)
     }
 
@@ -146,30 +146,36 @@
         if (!isFromThisTerm || report.observedAtMs < session.observedAtMs) return
         session.observedAtMs = report.observedAtMs
         session.reportedCapacity = report.capacity
-        session.isTrusted = true
+        session.isResponsive = true
         report.tasks.forEach { tracker.onStatus(session.workerId, it) }
-        giveUpUnlisted(session, report)
+        handleUnlistedParts(session, report)
         sessions.publish(session)
     }
 
-    /** A start that its worker can no longer accept and does not list has not happened. */
-    private fun giveUpUnlisted(session: WorkerSession, report: WorkerReport) {
+    /**
+     * Handles parts that the report does not list although the worker can no longer accept their start.
+     *
+     * A part that is still starting did not start and is requeued; any other part is lost.
+     */
+    private fun handleUnlistedParts(session: WorkerSession, report: WorkerReport) {
         val listed = report.tasks.mapTo(HashSet()) { it.task }
-        session.parts().filter { report.observedAtMs > it.part.startBeforeMs + MAX_CLOCK_SKEW_MS }.forEach { (job, part) ->
+        session.parts().filter {
+            report.observedAtMs > it.part.startBeforeMs + MAX_CLOCK_SKEW_MS
+        }.forEach { (job, part) ->
             val task = job.taskId(part)
             when {
                 task in listed -> Unit
-                part.state == PartState.STARTING -> tracker.giveBack(job, part)
-                else -> tracker.lose(job, part, task)
+                part.state == PartState.STARTING -> tracker.requeue(job, part)
+                else -> tracker.onPartLost(job, part, task)
             }
         }
     }
 
-    /** Gives up parts whose worker has been silent until after the end of their leases. */
-    fun giveUpSilent() {
+    /** Handles parts as lost once their leases have ended without a response from their worker. */
+    fun handleExpiredLeases() {
         val now = context.clock()
         sessions.all.toList().flatMap { it.parts() }
             .filter { (_, part) -> part.isOnWorker && now > part.leaseUntilMs + 2 * MAX_CLOCK_SKEW_MS }
-            .forEach { (job, part) -> tracker.lose(job, part, job.taskId(part)) }
+            .forEach { (job, part) -> tracker.onPartLost(job, part, job.taskId(part)) }
     }
 }
--- a/jobs/src/main/kotlin/dev/bronzeshore/jobs/TrackedJob.kt
+++ b/jobs/src/main/kotlin/dev/bronzeshore/jobs/TrackedJob.kt
@@ -8,9 +8,9 @@
 import dev.bronzeshore.core.WorkItem
 import dev.bronzeshore.core.WorkKind
 
-/** Where one part stands. */
+/** State of one part. */
 internal enum class PartState {
-    /** Not seen since the takeover; it may still run on a worker that has not reported. */
+    /** Not in any report since the takeover; it may still run on a worker that has not reported. */
     UNACCOUNTED,
 
     /** In the placer's queue. */
@@ -21,13 +21,13 @@
 
     RUNNING,
 
-    /** Stopped so that the whole gang can start again. */
+    /** On no worker, and waits until the other parts have stopped: for a restart of the gang or a cancellation. */
     HELD,
 
     ENDED,
 }
 
-/** One part; the deadlines are those last sent to its worker. */
+/** One part of a job; [startBeforeMs] and [leaseUntilMs] are the deadlines last sent to its worker. */
 internal class TrackedPart(val index: Int) {
     var state: PartState = PartState.PENDING
     var workerId: String = ""
@@ -37,7 +37,7 @@
     var leaseUntilMs: Long = 0
     var failures: Int = 0
 
-    /** Stays true once any attempt may have run, so that the job is never reported as "not run". */
+    /** True once any attempt may have run; never reset, so that the job is never reported as not run. */
     var mayHaveRun: Boolean = false
     var result: PartResult? = null
 
@@ -48,7 +48,7 @@
     val parts: List<TrackedPart> = List(record.submission.parts) { TrackedPart(it) }
     var isCancelled: Boolean = false
 
-    /** True once the final record is in the journal; the job changes no more. */
+    /** True once the final record is appended to the journal; the job no longer changes. */
     var isEnding: Boolean = false
     var isRestarting: Boolean = false
 
@@ -58,7 +58,7 @@
 
     fun taskId(part: TrackedPart): TaskId = TaskId(jobId, part.index, part.attempt)
 
-    /** The latest start applies to the first start only; a part that was stopped later waits without a deadline. */
+    /** The latest start time applies only until a part may have run; a part that is requeued later has none. */
     fun toWorkItem(): WorkItem = record.toWorkItem(kind).copy(
         startBeforeMs = record.submission.startBeforeMs.takeUnless { mayHaveRun },
         pendingParts = parts.filter { it.state == PartState.PENDING }.map { it.index },
--- a/jobs/src/main/kotlin/dev/bronzeshore/jobs/WorkerRoster.kt
+++ b/jobs/src/main/kotlin/dev/bronzeshore/jobs/WorkerRoster.kt
@@ -16,8 +16,8 @@
 /**
  * Row `workers/<dataCentre>`, written before the first start on a worker.
  *
- * The platform's VM list may hide a live worker. A new owner that trusted the list alone could start a part again
- * while the hidden worker still runs it, so it asks every worker of this roster.
+ * The platform's VM list may omit a live worker. A new owner that relied on the list alone could start a part again
+ * while the omitted worker still runs it, so it requests a report from every worker of this roster.
  */
 internal class WorkerRoster(private val table: TableApi, private val fence: Condition, dataCentre: String) {
     private val key = "workers/$dataCentre"
@@ -32,10 +32,10 @@
     }
 
     /**
-     * Writes the list if it differs from the saved one and says whether the row now holds it.
+     * Writes the list if it differs from the saved one; returns whether the row now contains it.
      *
-     * The condition on the row's version keeps an earlier write whose answer was lost from landing later and removing
-     * workers again. After any other result the row is read again and the caller repeats the call.
+     * The condition on the row's version prevents an earlier write whose response was lost from taking effect later and
+     * removing workers again. After any result other than `Applied`, this reads the row again and the caller retries.
      */
     suspend fun save(workers: List<Vm>): Either<Fault, Boolean> {
         val sorted = workers.sortedBy { it.id }
--- a/jobs/src/main/kotlin/dev/bronzeshore/jobs/WorkerSession.kt
+++ b/jobs/src/main/kotlin/dev/bronzeshore/jobs/WorkerSession.kt
@@ -1,4 +1,4 @@
-/** What the owner keeps about one worker between calls. */
+/** The owner's state for one worker between calls. */
 package dev.bronzeshore.jobs
 
 import dev.bronzeshore.core.Resources
@@ -6,7 +6,7 @@
 import dev.bronzeshore.core.TaskOrder
 import dev.bronzeshore.core.Vm
 
-/** A part on the worker that holds it. */
+/** A part that is assigned to a worker; equal to another one if it refers to the same [part] object. */
 internal class AssignedPart(val job: TrackedJob, val part: TrackedPart) {
     operator fun component1(): TrackedJob = job
 
@@ -18,21 +18,21 @@
 }
 
 internal class WorkerSession(var vm: Vm) {
-    /** Time at the worker of its newest report; 0 until the first one. */
+    /** Time of the newest valid report by the worker's clock; 0 until the first one. */
     var observedAtMs: Long = 0
     var reportedCapacity: Resources? = null
     var failedCalls: Int = 0
 
-    /** False while the operators, the VM list or the quarantine keep new work away. */
-    var isWanted: Boolean = false
+    /** False while an operator's mark, the VM list or the quarantine excludes the worker from new work. */
+    var isSchedulable: Boolean = false
 
-    /** True once the roster row names this worker, so that a later owner asks it for a report. */
+    /** True once the roster row contains this worker, so that a later owner requests its report. */
     var isInRoster: Boolean = false
 
-    /** False from a refused or failed start until the next report. */
-    var isTrusted: Boolean = false
+    /** False until the first report, and again after consecutive failed calls until the next report. */
+    var isResponsive: Boolean = false
 
-    /** End of the latest task lease that was ever sent to it. */
+    /** Latest end of any task lease that was sent to this worker. */
     var lastLeaseUntilMs: Long = 0
 
     private val assigned = LinkedHashSet<AssignedPart>()
@@ -40,9 +40,9 @@
     private val acknowledged = LinkedHashSet<TaskId>()
 
     val workerId: String get() = vm.id
-    val isAccepting: Boolean get() = isWanted && isInRoster && isTrusted && observedAtMs > 0
+    val isAccepting: Boolean get() = isSchedulable && isInRoster && isResponsive && observedAtMs > 0
 
-    /** Parts that were sent here and have not left; without this index each heartbeat would scan all open jobs. */
+    /** Parts that are on this worker; without this index each heartbeat would scan all open jobs. */
     fun parts(): List<AssignedPart> {
         assigned.removeIf { !it.part.isOnWorker || it.part.workerId != workerId }
         return assigned.toList()
@@ -60,12 +60,12 @@
         acknowledged += task
     }
 
-    /** Orders and acknowledgements are repeated until a call succeeds; both are idempotent at the worker. */
+    /** Orders and acknowledgements are sent with each call until one succeeds; both are idempotent at the worker. */
     fun pendingOrders(): List<TaskOrder> = orders.toList()
 
     fun pendingAcknowledgements(): List<TaskId> = acknowledged.toList()
 
-    fun delivered(sentOrders: List<TaskOrder>, sentAcknowledgements: List<TaskId>) {
+    fun markDelivered(sentOrders: List<TaskOrder>, sentAcknowledgements: List<TaskId>) {
         orders.removeAll(sentOrders.toSet())
         acknowledged.removeAll(sentAcknowledgements.toSet())
     }
--- a/jobs/src/main/kotlin/dev/bronzeshore/jobs/WorkerSessions.kt
+++ b/jobs/src/main/kotlin/dev/bronzeshore/jobs/WorkerSessions.kt
@@ -1,4 +1,4 @@
-/** All workers of one data centre, and what the placer knows of them. */
+/** The sessions of all workers of one data centre; forwards their state to the placer. */
 package dev.bronzeshore.jobs
 
 import dev.bronzeshore.core.MAX_CLOCK_SKEW_MS
@@ -7,7 +7,7 @@
 import dev.bronzeshore.core.TASK_LEASE_MS
 import dev.bronzeshore.core.Vm
 
-/** A worker together with whether new work may go there. */
+/** A listed worker and whether it may get new work. */
 public data class WorkerCandidate(public val vm: Vm, public val accepting: Boolean)
 
 internal class WorkerSessions(private val context: JobsContext) {
@@ -17,20 +17,20 @@
 
     fun find(workerId: String): WorkerSession? = byId[workerId]
 
-    /** Takes the current view of workers; one that vanished is kept until its last lease has ended. */
+    /** Replaces the list of workers; a worker that is no longer listed is kept until its last task lease has ended. */
     fun update(candidates: List<WorkerCandidate>) {
-        val wanted = candidates.associateBy { it.vm.id }
-        wanted.values.forEach { candidate ->
+        val candidatesById = candidates.associateBy { it.vm.id }
+        candidatesById.values.forEach { candidate ->
             val session = byId.getOrPut(candidate.vm.id) { WorkerSession(candidate.vm) }
             session.vm = candidate.vm
-            session.isWanted = candidate.accepting
+            session.isSchedulable = candidate.accepting
         }
-        byId.values.filter { it.workerId !in wanted }.forEach { it.isWanted = false }
-        dropEnded(wanted.keys)
+        byId.values.filter { it.workerId !in candidatesById }.forEach { it.isSchedulable = false }
+        removeUnused(candidatesById.keys)
         all.forEach(::publish)
     }
 
-    /** Adds workers of the former owner's roster that the VM list does not show. */
+    /** Adds the workers of the previous owner's roster, which may not all be in the platform's VM list. */
     fun addFromRoster(vms: List<Vm>) = vms.forEach { vm ->
         byId.getOrPut(vm.id) { WorkerSession(vm) }.also {
             it.isInRoster = true
@@ -45,25 +45,26 @@
         }
     }
 
-    private fun dropEnded(wantedIds: Set<String>) {
+    private fun removeUnused(candidateIds: Set<String>) {
         val now = context.clock()
-        val ended = byId.values.filter { session ->
-            val lastUseMs = maxOf(
+        val unused = byId.values.filter { session ->
+            val lastEffectMs = maxOf(
                 session.lastLeaseUntilMs,
                 context.authority.previousEffectsUntilMs + TASK_LEASE_MS,
             )
-            session.workerId !in wantedIds && now > lastUseMs + 2 * MAX_CLOCK_SKEW_MS && session.parts().isEmpty()
+            session.workerId !in candidateIds && now > lastEffectMs + 2 * MAX_CLOCK_SKEW_MS && session.parts().isEmpty()
         }
-        ended.forEach {
+        unused.forEach {
             byId.remove(it.workerId)
             context.placer.removeWorker(it.workerId)
         }
     }
 
     /**
-     * Tells the placer what it may use; the smaller of the listed and the reported capacity counts.
+     * Updates the worker in the placer with the smaller of the listed and the reported capacity.
      *
-     * A worker that has not reported gets no work, but it counts when a job is checked against the whole fleet.
+     * A worker that has not reported gets no work, but it counts when a job is checked against the capacity of all
+     * workers.
      */
     fun publish(session: WorkerSession) {
         val listed = session.vm.capacity
--- a/jobs/src/test/kotlin/dev/bronzeshore/jobs/FakePlacer.kt
+++ b/jobs/src/test/kotlin/dev/bronzeshore/jobs/FakePlacer.kt
@@ -1,4 +1,4 @@
-/** Places pending parts on the accepting worker with the fewest parts; no limits. */
+/** Places pending parts on the accepting worker with the fewest parts, without capacity limits. */
 package dev.bronzeshore.jobs
 
 import arrow.core.Either
--- a/jobs/src/test/kotlin/dev/bronzeshore/jobs/FakeTable.kt
+++ b/jobs/src/test/kotlin/dev/bronzeshore/jobs/FakeTable.kt
@@ -1,4 +1,4 @@
-/** Table service in memory with switchable faults. */
+/** In-memory table service with injectable faults. */
 package dev.bronzeshore.jobs
 
 import arrow.core.Either
@@ -16,7 +16,7 @@
     val rows = TreeMap<String, Row>()
     var writes = 0
 
-    /** Faults of the next writes, in order; an answer is lost after the effect for `WRITE_UNKNOWN`. */
+    /** Faults of the next writes, in order; with `WRITE_UNKNOWN` the write takes effect and its response is lost. */
     val writeFaults = ArrayDeque<ResultCode>()
     var isDown = false
 
@@ -34,7 +34,7 @@
         val fault = writeFaults.removeFirstOrNull()
         if (fault == ResultCode.STORE_UNAVAILABLE) return down()
         val result = apply(transaction)
-        return if (fault == null) result.right() else Fault(fault, "lost answer").left()
+        return if (fault == null) result.right() else Fault(fault, "lost response").left()
     }
 
     private fun apply(transaction: Transaction): WriteResult {
--- a/jobs/src/test/kotlin/dev/bronzeshore/jobs/FakeWorker.kt
+++ b/jobs/src/test/kotlin/dev/bronzeshore/jobs/FakeWorker.kt
@@ -1,4 +1,4 @@
-/** Worker in memory that keeps the lease rules and a record of what ran. */
+/** In-memory worker that follows the lease rules and records what ran. */
 package dev.bronzeshore.jobs
 
 import arrow.core.Either
@@ -29,11 +29,11 @@
     private val runs = LinkedHashMap<TaskId, Run>()
     var isUnreachable = false
 
-    /** Drops the answers of calls that were carried out. */
-    var losesAnswers = false
+    /** Drops the responses of calls that took effect. */
+    var losesResponses = false
     val startedTasks = mutableListOf<TaskId>()
 
-    /** For each task that ran here, when it ran. */
+    /** For each task that ran here, its start and end time. */
     val intervals = mutableListOf<Triple<TaskId, Long, Long>>()
 
     fun call(commands: WorkerCommands): Either<Fault, WorkerReport> {
@@ -47,10 +47,10 @@
         }
         commands.acknowledged.forEach(runs::remove)
         val report = WorkerReport(vm.id, clock(), vm.capacity, statuses)
-        return if (losesAnswers) Fault(ResultCode.OUTCOME_UNKNOWN, "lost answer").left() else report.right()
+        return if (losesResponses) Fault(ResultCode.OUTCOME_UNKNOWN, "lost response").left() else report.right()
     }
 
-    /** Applies the passing of time; called before the record is read. */
+    /** Updates the tasks to the current time; called before [intervals] are read. */
     fun advance() = runs.values.forEach { run ->
         val workEndsAtMs = run.startedAtMs + run.start.runMs
         when {
--- a/jobs/src/test/kotlin/dev/bronzeshore/jobs/JobJournalTest.kt
+++ b/jobs/src/test/kotlin/dev/bronzeshore/jobs/JobJournalTest.kt
@@ -1,9 +1,9 @@
 package dev.bronzeshore.jobs
 
+import dev.bronzeshore.core.ComponentLog
 import dev.bronzeshore.core.Condition
 import dev.bronzeshore.core.JobRecord
 import dev.bronzeshore.core.JobSubmission
-import dev.bronzeshore.core.ComponentLog
 import dev.bronzeshore.core.Resources
 import dev.bronzeshore.core.ResultCode
 import dev.bronzeshore.core.Row
@@ -25,17 +25,17 @@
 
     private fun table() = FakeTable().apply { rows[fence.key] = Row(fence.key, 1, "1", "takeover") }
 
-    /** Guards against a caller that is told something else than what the table holds. */
+    /** Guards against a result for the caller that contradicts the table. */
     @Test
-    fun `an acceptance ends as what the table holds`() {
+    fun `the result of an acceptance matches the table`() {
         class Case(val name: String, val faults: List<ResultCode>, val expected: Any, val written: Boolean)
         val cases = listOf(
             Case("no fault", emptyList(), AppendResult.Written, true),
             Case("not sent", listOf(ResultCode.STORE_UNAVAILABLE), ResultCode.STORE_UNAVAILABLE, false),
-            Case("answer lost once", listOf(ResultCode.WRITE_UNKNOWN), AppendResult.Written, true),
-            Case("answer lost twice", List(2) { ResultCode.WRITE_UNKNOWN }, AppendResult.Written, true),
+            Case("response lost once", listOf(ResultCode.WRITE_UNKNOWN), AppendResult.Written, true),
+            Case("response lost twice", List(2) { ResultCode.WRITE_UNKNOWN }, AppendResult.Written, true),
             Case(
-                "answer lost, then down",
+                "response lost, then down",
                 listOf(ResultCode.WRITE_UNKNOWN, ResultCode.STORE_UNAVAILABLE),
                 AppendResult.Written,
                 true,
@@ -62,7 +62,7 @@
         assertEquals(listOf(AppendResult.Superseded, AppendResult.Written), results.map { it.await().getOrNull() })
     }
 
-    /** Guards against an acceptance of a former owner that the new owner never sees. */
+    /** Guards against an acceptance of a previous owner that the new owner never reads. */
     @Test
     fun `nothing is written after a takeover`() = runTest {
         val table = table().apply { rows[fence.key] = Row(fence.key, 2, "2", "next owner") }
@@ -74,7 +74,7 @@
 
     /** Guards against a write rate that grows with the number of jobs; the bound is ten flushes a second. */
     @Test
-    fun `the write rate does not follow the job rate`() = runTest {
+    fun `the write rate does not depend on the job rate`() = runTest {
         val writes = listOf(10, 100).map { jobsPerSecond ->
             val table = table()
             val journal = JobJournal(table.api, fence, { currentTime }, ComponentLog("test"))
--- a/jobs/src/test/kotlin/dev/bronzeshore/jobs/WorkerRosterTest.kt
+++ b/jobs/src/test/kotlin/dev/bronzeshore/jobs/WorkerRosterTest.kt
@@ -19,39 +19,39 @@
 
     private fun workers(vararg ids: String) = ids.map { Vm(it, VmRole.WORKER, "ridge", "rack", it) }
 
-    private suspend fun stored() = WorkerRoster(table.api, fence, "ridge").load().getOrNull().orEmpty().map { it.id }
+    private suspend fun storedIds() = WorkerRoster(table.api, fence, "ridge").load().getOrNull().orEmpty().map { it.id }
 
-    /** Guards against a roster that loses a worker which has been given work. */
+    /** Guards against a roster that loses a worker which may already run tasks. */
     @Test
-    fun `a write that arrives late does not replace a newer list`() = runTest {
-        var late: Transaction? = null
-        val delaying = TableApi(table.api.read, table.api.readRange) { transaction ->
-            if (late == null) {
-                late = transaction
+    fun `a delayed write does not replace a newer list`() = runTest {
+        var delayedWrite: Transaction? = null
+        val delayingTable = TableApi(table.api.read, table.api.readRange) { transaction ->
+            if (delayedWrite == null) {
+                delayedWrite = transaction
                 table.writeFaults.addFirst(ResultCode.STORE_UNAVAILABLE)
             }
             table.api.write(transaction)
         }
-        val roster = WorkerRoster(delaying, fence, "ridge")
+        val roster = WorkerRoster(delayingTable, fence, "ridge")
         assertFalse(roster.save(workers("a")).getOrNull() == true)
         assertTrue(roster.save(workers("a", "b")).getOrNull() == true)
-        table.api.write(checkNotNull(late))
-        assertEquals(listOf("a", "b"), stored())
+        table.api.write(checkNotNull(delayedWrite))
+        assertEquals(listOf("a", "b"), storedIds())
     }
 
     @Test
-    fun `a write whose answer was lost counts once the row is read again`() = runTest {
+    fun `a write whose response was lost is confirmed by reading the row again`() = runTest {
         val roster = WorkerRoster(table.api, fence, "ridge")
         table.writeFaults.add(ResultCode.WRITE_UNKNOWN)
         assertTrue(roster.save(workers("a")).getOrNull() == true)
-        assertEquals(listOf("a"), stored())
+        assertEquals(listOf("a"), storedIds())
     }
 
     @Test
-    fun `a former owner does not write the list`() = runTest {
+    fun `a previous owner cannot write the list`() = runTest {
         table.rows[fence.key] = Row(fence.key, 2, "2", "next owner")
         val roster = WorkerRoster(table.api, fence, "ridge")
         assertFalse(roster.save(workers("a")).getOrNull() == true)
-        assertEquals(emptyList<String>(), stored())
+        assertEquals(emptyList<String>(), storedIds())
     }
 }
