--- a/jobs/src/test/kotlin/dev/bronzeshore/jobs/DataCentreJobsTest.kt
+++ b/jobs/src/test/kotlin/dev/bronzeshore/jobs/DataCentreJobsTest.kt
@@ -62,7 +62,7 @@
 
         fun record(jobId: String) = JobRows.parse(table.rows.getValue(JobRows.jobKey(jobId)))
 
-        /** Number of successive attempts of the same part that ran at the same time. */
+        /** Number of times that successive attempts of a part overlapped. */
         fun overlaps(): Int {
             workers.forEach { it.advance() }
             val byPart = workers.flatMap { it.intervals }.groupBy { (task, _, _) -> task.jobId to task.part }
