--- a/plans/src/main/kotlin/dev/bronzeshore/plans/ConfigurationDiffer.kt
+++ b/plans/src/main/kotlin/dev/bronzeshore/plans/ConfigurationDiffer.kt
@@ -16,7 +16,7 @@
             diff(before.marks, after.marks, MarkedVm::vmId, ::describeMarks)
 
     /** The items of [configuration] that [other] lacks or has with different content. */
-    public fun changedPart(configuration: Configuration, other: Configuration): Configuration = Configuration(
+    public fun changedItems(configuration: Configuration, other: Configuration): Configuration = Configuration(
         configuration.version,
         (configuration.plans.map(::sorted) - other.plans.map(::sorted).toSet()),
         (configuration.allowances - other.allowances.toSet()),
--- a/plans/src/main/kotlin/dev/bronzeshore/plans/ConfigurationHolder.kt
+++ b/plans/src/main/kotlin/dev/bronzeshore/plans/ConfigurationHolder.kt
@@ -25,7 +25,7 @@
         private set
 
     /** Adds a listener; it is called at once if a configuration is already known. */
-    public fun listen(listener: ConfigurationListener) {
+    public fun addListener(listener: ConfigurationListener) {
         listeners += listener
         if (isKnown) {
             listener(current)
--- a/plans/src/main/kotlin/dev/bronzeshore/plans/ConfigurationWriter.kt
+++ b/plans/src/main/kotlin/dev/bronzeshore/plans/ConfigurationWriter.kt
@@ -144,8 +144,8 @@
         version = after.version,
         writeId = newWriteId(),
         changes = changes,
-        before = encode(ConfigurationDiffer.changedPart(before, after)),
-        after = encode(ConfigurationDiffer.changedPart(after, before)),
+        before = encode(ConfigurationDiffer.changedItems(before, after)),
+        after = encode(ConfigurationDiffer.changedItems(after, before)),
     )
 
     private fun encode(configuration: Configuration): String =
--- a/plans/src/test/kotlin/dev/bronzeshore/plans/ConfigurationDifferTest.kt
+++ b/plans/src/test/kotlin/dev/bronzeshore/plans/ConfigurationDifferTest.kt
@@ -50,8 +50,8 @@
     fun `the changed part holds only what differs`() {
         val other = plan.copy(name = "other", kinds = emptyList())
         val after = base.copy(version = 2, plans = listOf(other, plan.copy(kinds = listOf(sheets, roster))))
-        assertEquals(Configuration(2, listOf(other)), ConfigurationDiffer.changedPart(after, base))
-        assertEquals(Configuration(1), ConfigurationDiffer.changedPart(base, after))
+        assertEquals(Configuration(2, listOf(other)), ConfigurationDiffer.changedItems(after, base))
+        assertEquals(Configuration(1), ConfigurationDiffer.changedItems(base, after))
     }
 
     @Test
--- a/plans/src/test/kotlin/dev/bronzeshore/plans/ConfigurationHolderTest.kt
+++ b/plans/src/test/kotlin/dev/bronzeshore/plans/ConfigurationHolderTest.kt
@@ -14,8 +14,8 @@
         val table = FakeTable()
         val holder = ConfigurationHolder()
         val seen = mutableListOf<Long>()
-        holder.listen { error("broken listener") }
-        holder.listen { seen += it.version }
+        holder.addListener { error("broken listener") }
+        holder.addListener { seen += it.version }
         val refresher = ConfigurationRefresher(table.api, holder)
         table.readFault = Fault(ResultCode.STORE_UNAVAILABLE, "down")
         assertEquals(true, refresher.refresh().isLeft())
--- a/server/src/main/kotlin/dev/bronzeshore/server/BronzeshoreProcess.kt
+++ b/server/src/main/kotlin/dev/bronzeshore/server/BronzeshoreProcess.kt
@@ -144,7 +144,7 @@
 
     /** Listens on all ports and starts the periodic tasks. */
     suspend fun start() {
-        withContext(control) { configuration.listen(::onConfiguration) }
+        withContext(control) { configuration.addListener(::onConfiguration) }
         PeerServer(
             selector,
             clock,
