--- a/audit/src/main/kotlin/dev/bronzeshore/audit/AuditPruner.kt
+++ b/audit/src/main/kotlin/dev/bronzeshore/audit/AuditPruner.kt
@@ -14,10 +14,10 @@
 import dev.bronzeshore.core.auditKeyPrefix
 
 /**
- * Deletes old audit rows in bounded transactions.
+ * Deletes expired audit rows in bounded transactions.
  *
- * Several processes may prune at the same time, and a lost answer needs no settling: deleting a row twice has no
- * effect.
+ * Several processes may prune at the same time, and a delete whose response was lost may be repeated: deleting a row
+ * twice has no effect.
  */
 public class AuditPruner(
     private val table: TableApi,
@@ -25,20 +25,20 @@
     private val retention: AuditRetention,
     private val newWriteId: () -> String,
 ) {
-    /** Deletes at most [MAX_TRANSACTIONS] times [ROWS_PER_TRANSACTION] rows and says how many. */
+    /** Deletes at most [MAX_TRANSACTIONS] times [ROWS_PER_TRANSACTION] rows and returns their number. */
     public suspend fun prune(): Either<Fault, Int> {
-        val keepFromMs = (clock() - retention.retentionMs).coerceAtLeast(0)
-        val keepFromKey = auditKeyPrefix(keepFromMs)
+        val retainFromMs = (clock() - retention.retentionMs).coerceAtLeast(0)
+        val retainFromKey = auditKeyPrefix(retainFromMs)
         var deleted = 0
         repeat(MAX_TRANSACTIONS) {
             val range = RowRange(AUDIT_PREFIX, limit = ROWS_PER_TRANSACTION)
             val rows = table.readRange(range).fold({ return it.left() }, { it })
-            val old = rows.map(Row::key).filter { it < keepFromKey }
-            if (old.isNotEmpty()) {
-                table.write(Transaction(newWriteId(), deletes = old)).onLeft { return it.left() }
-                deleted += old.size
+            val expired = rows.map(Row::key).filter { it < retainFromKey }
+            if (expired.isNotEmpty()) {
+                table.write(Transaction(newWriteId(), deletes = expired)).onLeft { return it.left() }
+                deleted += expired.size
             }
-            if (old.size < ROWS_PER_TRANSACTION) {
+            if (expired.size < ROWS_PER_TRANSACTION) {
                 return deleted.right()
             }
         }
@@ -46,10 +46,10 @@
     }
 
     public companion object {
-        /** Keeps a transaction as small as a flush of the journal. */
+        /** Limits a transaction to the size of a journal flush. */
         public const val ROWS_PER_TRANSACTION: Int = 100
 
-        /** Keeps one call from taking a noticeable part of the table service's writes. */
+        /** Limits one call to a small fraction of the table service's write capacity. */
         public const val MAX_TRANSACTIONS: Int = 10
     }
 }
--- a/audit/src/main/kotlin/dev/bronzeshore/audit/AuditReader.kt
+++ b/audit/src/main/kotlin/dev/bronzeshore/audit/AuditReader.kt
@@ -1,4 +1,4 @@
-/** Reads the audit in pages, oldest entry first. */
+/** Reads the audit log in pages, oldest entry first. */
 package dev.bronzeshore.audit
 
 import arrow.core.Either
@@ -17,19 +17,19 @@
     private val log = ComponentLog("audit")
 
     /**
-     * Up to [limit] entries after the key [after], the newest last; fewer only at the end of the audit.
+     * Returns up to [limit] entries after the key [after], newest last; fewer only at the end of the audit log.
      *
-     * The next page follows the `rowKey` of the last entry. To start at a time, [after] is the common start of all keys
-     * of that time (`auditKeyPrefix`).
+     * For the next page, [after] is the `rowKey` of the last entry. To start at a time, [after] is the common prefix of
+     * all keys of that time (`auditKeyPrefix`).
      */
     public suspend fun read(after: String = "", limit: Int = DEFAULT_LIMIT): Either<Fault, List<AuditEntry>> {
         checkArguments(after, limit)?.let { return it.left() }
         val entries = ArrayList<AuditEntry>()
         var position = after
         while (entries.size < limit) {
-            val wanted = limit - entries.size
+            val remaining = limit - entries.size
             val rows =
-                table.readRange(RowRange(AUDIT_PREFIX, position, wanted)).fold({ return it.left() }, { it })
+                table.readRange(RowRange(AUDIT_PREFIX, position, remaining)).fold({ return it.left() }, { it })
             for (row in rows) {
                 val entry = AuditRow.decode(row)
                 if (entry == null) {
@@ -39,7 +39,7 @@
                 }
                 position = row.key
             }
-            if (rows.size < wanted) {
+            if (rows.size < remaining) {
                 break
             }
         }
@@ -64,7 +64,7 @@
     public companion object {
         public const val DEFAULT_LIMIT: Int = 100
 
-        /** Keeps an answer within a few hundred kilobytes. */
+        /** Limits a response to a few hundred kilobytes. */
         public const val MAX_LIMIT: Int = 1_000
     }
 }
--- a/audit/src/main/kotlin/dev/bronzeshore/audit/AuditRetention.kt
+++ b/audit/src/main/kotlin/dev/bronzeshore/audit/AuditRetention.kt
@@ -1,9 +1,9 @@
-/** How long audit rows are kept. */
+/** Retention period of audit rows. */
 package dev.bronzeshore.audit
 
 import kotlinx.serialization.Serializable
 
-/** Settings of the audit. */
+/** Settings of the audit log. */
 @Serializable
 public data class AuditRetention(public val retentionMs: Long = DEFAULT_RETENTION_MS) {
     init {
@@ -13,10 +13,10 @@
     }
 
     public companion object {
-        /** 400 days: a full year can be compared with the same days of the year before. */
+        /** 400 days: a full year can be compared with the same days of the previous year. */
         public const val DEFAULT_RETENTION_MS: Long = 400L * 24 * 60 * 60 * 1_000
 
-        /** Audit rows also settle lost answers, which takes seconds; an hour leaves ample room. */
+        /** Audit rows also resolve writes whose response was lost. This takes seconds; an hour is an ample margin. */
         public const val MIN_RETENTION_MS: Long = 60L * 60 * 1_000
     }
 }
--- a/audit/src/test/kotlin/dev/bronzeshore/audit/AuditTest.kt
+++ b/audit/src/test/kotlin/dev/bronzeshore/audit/AuditTest.kt
@@ -47,7 +47,7 @@
     }
 
     @Test
-    fun `an unreadable row is shown and a foreign key does not end a page early`() = runBlocking {
+    fun `an unreadable row is returned and a key of another format does not end a page early`() = runBlocking {
         put("audit/note")
         put(entry(7).rowKey)
         put(entry(8))
@@ -57,14 +57,14 @@
     }
 
     @Test
-    fun `bad arguments are refused`() = runBlocking {
+    fun `invalid arguments are refused`() = runBlocking {
         for ((after, limit) in listOf("" to 0, "" to -1, "" to 1_001, "config/" to 5)) {
             assertEquals(ResultCode.INVALID_VALUE, AuditReader(table).read(after, limit).leftOrNull()?.code)
         }
     }
 
     @Test
-    fun `pruning keeps the retention period and bounds its transactions`() = runBlocking {
+    fun `pruning keeps rows within the retention period and bounds its transactions`() = runBlocking {
         val hourMs = AuditRetention.MIN_RETENTION_MS
         (1L..1_250L).forEach { put(entry(it)) }
         val clock = { hourMs + 1_201 }
@@ -78,7 +78,7 @@
     }
 
     @Test
-    fun `a retention that would delete rows still needed to settle writes is refused`() {
+    fun `a retention period that would delete rows still needed to resolve writes is refused`() {
         assertThrows(IllegalArgumentException::class.java) { AuditRetention(0) }
         val young = AuditPruner(table, { 5 }, AuditRetention()) { "w" }
         put(entry(1))
