--- a/plans/src/main/kotlin/dev/bronzeshore/plans/AllowanceListReader.kt
+++ b/plans/src/main/kotlin/dev/bronzeshore/plans/AllowanceListReader.kt
@@ -16,11 +16,11 @@
 /**
  * Reads `allowances.json` and reports all of its faults.
  *
- * [planNames] are the plans that an allowance may name; null if they are not known, so that the list can be checked
- * alone.
+ * [planNames] are the plans that an allowance may name; null if they are not known, which allows checking the list
+ * without a list of plans.
  */
 public class AllowanceListReader(private val planNames: Set<String>?) {
-    private val reader = DocumentReader(AllowanceList.serializer(), RULES, ::checkWhole)
+    private val reader = DocumentReader(AllowanceList.serializer(), RULES, ::checkDocument)
 
     /** Reads [text], the content of [file]. */
     public fun read(file: String, text: String): Either<NonEmptyList<Fault>, List<Allowance>> =
@@ -30,18 +30,18 @@
     public fun validate(source: String, allowances: List<Allowance>): Either<NonEmptyList<Fault>, List<Allowance>> =
         reader.validate(source, AllowanceList(allowances)).map { it.allowances }
 
-    private fun checkWhole(document: Document) {
+    private fun checkDocument(document: Document) {
         val allowances = document.root.field("allowances").items()
         checkPlans(document, allowances)
         val targets =
             allowances.mapIndexed { i, allowance ->
                 val plan = allowance.text("plan")
                 val dataCentre = allowance.text("dataCentre")
-                Named("allowances[$i]", if (plan == null || dataCentre == null) null else "$plan in $dataCentre")
+                UniqueValue("allowances[$i]", if (plan == null || dataCentre == null) null else "$plan in $dataCentre")
             }
-        document.reportRepeats("allowance of", targets)
-        for (size in SIZES) {
-            checkSum(document, allowances, size)
+        document.reportDuplicateValues("allowance of", targets)
+        for (resourceField in RESOURCE_FIELDS) {
+            checkTotal(document, allowances, resourceField)
         }
     }
 
@@ -57,15 +57,15 @@
         }
     }
 
-    // Placement adds allowances up with exact arithmetic, so a sum that overflows must not be accepted.
-    private fun checkSum(document: Document, allowances: List<JsonElement>, size: String) {
+    // Placement sums allowances with exact arithmetic, so a sum that overflows must be refused.
+    private fun checkTotal(document: Document, allowances: List<JsonElement>, resourceField: String) {
         var sum = 0L
         allowances.forEachIndexed { i, allowance ->
-            val amount = allowance.field("limit").number(size)?.takeIf { it >= 0 } ?: 0
+            val amount = allowance.field("limit").number(resourceField)?.takeIf { it >= 0 } ?: 0
             if (sum > Long.MAX_VALUE - amount) {
-                val message = "The sum of \"$size\" over all allowances overflows."
+                val message = "The sum of \"$resourceField\" over all allowances overflows."
                 val accepted = "a sum of at most ${Long.MAX_VALUE}"
-                document.report(ResultCode.INVALID_SIZE, "allowances[$i].limit.$size", message, accepted)
+                document.report(ResultCode.INVALID_SIZE, "allowances[$i].limit.$resourceField", message, accepted)
                 return
             }
             sum += amount
@@ -74,9 +74,9 @@
 
     private companion object {
         const val MAX_WEIGHT = 1_000_000L
-        val SIZES = listOf("processorsMillicores", "memoryBytes", "accelerators")
+        val RESOURCE_FIELDS = listOf("processorsMillicores", "memoryBytes", "accelerators")
         val RULES =
-            SIZES.map { FieldRule.number("allowances[].limit.$it", 0, Long.MAX_VALUE) } +
+            RESOURCE_FIELDS.map { FieldRule.number("allowances[].limit.$it", 0, Long.MAX_VALUE) } +
                 listOf(
                     FieldRule.name("allowances[].plan"),
                     FieldRule.name("allowances[].dataCentre"),
--- a/plans/src/main/kotlin/dev/bronzeshore/plans/Authenticator.kt
+++ b/plans/src/main/kotlin/dev/bronzeshore/plans/Authenticator.kt
@@ -6,12 +6,12 @@
 import java.util.HexFormat
 
 /**
- * Looks tokens up by their SHA-256. Immutable and thread-safe: a new configuration gets a new authenticator.
+ * Looks up tokens by their SHA-256. Immutable and thread-safe: each configuration gets a new authenticator.
  */
 public class Authenticator(plans: List<Plan>) {
     private val entries = plans.mapNotNull { plan -> digestOf(plan)?.let { Entry(plan, it) } }
 
-    /** The plan of [token], or null; the time taken does not depend on which plan matches, or how closely. */
+    /** Returns the plan of [token] or null, in a time that does not depend on which plan matches, or how closely. */
     public fun planOf(token: String): Plan? {
         val digest = MessageDigest.getInstance("SHA-256").digest(token.toByteArray())
         var match: Plan? = null
@@ -23,7 +23,7 @@
         return match
     }
 
-    // A row may hold anything, and a plan without a valid hash matches no token.
+    // The hash comes from a stored row and may be malformed; such a plan matches no token.
     private fun digestOf(plan: Plan): ByteArray? =
         runCatching { HexFormat.of().parseHex(plan.tokenSha256) }.getOrNull()?.takeIf { it.size == DIGEST_BYTES }
 
--- a/plans/src/main/kotlin/dev/bronzeshore/plans/ConfigurationDiffer.kt
+++ b/plans/src/main/kotlin/dev/bronzeshore/plans/ConfigurationDiffer.kt
@@ -1,4 +1,4 @@
-/** Describes the difference between two configurations for people and for the audit. */
+/** Describes the difference between two configurations for operators and the audit log. */
 package dev.bronzeshore.plans
 
 import dev.bronzeshore.core.Allowance
@@ -7,15 +7,15 @@
 import dev.bronzeshore.core.Plan
 import dev.bronzeshore.core.WorkKind
 
-/** Compares configurations by content; neither the version nor the order of a list counts. */
+/** Compares configurations by content, regardless of their versions and of the order of items in lists. */
 public object ConfigurationDiffer {
-    /** One sentence for each change from [before] to [after]; empty if both have the same content. */
+    /** Returns one sentence for each change from [before] to [after]; empty if both have the same content. */
     public fun describe(before: Configuration, after: Configuration): List<String> =
         diff(before.plans, after.plans, Plan::name, ::describePlans) +
             diff(before.allowances, after.allowances, ::target, ::describeAllowances) +
             diff(before.marks, after.marks, MarkedVm::vmId, ::describeMarks)
 
-    /** The items of [configuration] that [other] lacks or has with different content. */
+    /** Returns the items of [configuration] that [other] lacks or has with different content. */
     public fun changedItems(configuration: Configuration, other: Configuration): Configuration = Configuration(
         configuration.version,
         (configuration.plans.map(::sorted) - other.plans.map(::sorted).toSet()),
--- a/plans/src/main/kotlin/dev/bronzeshore/plans/ConfigurationHolder.kt
+++ b/plans/src/main/kotlin/dev/bronzeshore/plans/ConfigurationHolder.kt
@@ -4,13 +4,13 @@
 import dev.bronzeshore.core.ComponentLog
 import dev.bronzeshore.core.Configuration
 
-/** Called on the control thread after a configuration was taken. */
+/** Called on the control thread after a configuration has come into force. */
 public typealias ConfigurationListener = (configuration: Configuration) -> Unit
 
 /**
- * Holds the current configuration, whose version only grows.
+ * Holds the current configuration, whose version only increases.
  *
- * Not thread-safe: it belongs to the control thread.
+ * Not thread-safe: only the control thread may use it.
  */
 public class ConfigurationHolder {
     private val log = ComponentLog("plans")
@@ -20,11 +20,11 @@
     public var current: Configuration = Configuration.EMPTY
         private set
 
-    /** False until the table service or a peer has said which configuration is in force. */
+    /** False until the table service or a peer has supplied the configuration in force. */
     public var isKnown: Boolean = false
         private set
 
-    /** Adds a listener; it is called at once if a configuration is already known. */
+    /** Adds a listener and calls it immediately if a configuration is already known. */
     public fun addListener(listener: ConfigurationListener) {
         listeners += listener
         if (isKnown) {
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Takes [configuration] if it is the first one or has a higher version, and says whether it was taken.
+     * Puts [configuration] in force if it is the first one or has a higher version, and returns whether it did.
      *
      * Stale reads and late pushes carry lower versions and are ignored.
      */
@@ -50,7 +50,7 @@
         return true
     }
 
-    // The configuration is in force by now, so one failing listener must not keep it from the others.
+    // The configuration is already in force, so a failing listener must not keep the others from being called.
     private fun notify(listener: ConfigurationListener, configuration: Configuration) {
         try {
             listener(configuration)
--- a/plans/src/main/kotlin/dev/bronzeshore/plans/ConfigurationRefresher.kt
+++ b/plans/src/main/kotlin/dev/bronzeshore/plans/ConfigurationRefresher.kt
@@ -8,7 +8,7 @@
 
 /** Reads the row once per call; the caller decides how often. */
 public class ConfigurationRefresher(private val table: TableApi, private val holder: ConfigurationHolder) {
-    /** True if the row held a newer configuration, which is now in force in this process. */
+    /** Returns true if the row held a newer configuration, which is now in force in this process. */
     public suspend fun refresh(): Either<Fault, Boolean> =
         table.read(ConfigurationRow.KEY).flatMap(ConfigurationRow::decode).map(holder::offer)
 }
--- a/plans/src/main/kotlin/dev/bronzeshore/plans/ConfigurationRow.kt
+++ b/plans/src/main/kotlin/dev/bronzeshore/plans/ConfigurationRow.kt
@@ -15,7 +15,7 @@
 public object ConfigurationRow {
     public const val KEY: String = "config/current"
 
-    /** Decodes the row; no row stands for the empty configuration. */
+    /** Decodes the row; a missing row means the empty configuration. */
     public fun decode(row: Row?): Either<Fault, Configuration> {
         if (row == null) {
             return Configuration.EMPTY.right()
--- a/plans/src/main/kotlin/dev/bronzeshore/plans/ConfigurationValidator.kt
+++ b/plans/src/main/kotlin/dev/bronzeshore/plans/ConfigurationValidator.kt
@@ -10,7 +10,7 @@
 
 /** Applies the rules for the operators' files to lists that are already decoded. */
 public object ConfigurationValidator {
-    /** A single fault that lists all faults; its code is that of the first one. */
+    /** Fails with a single fault that lists all faults and has the code of the first one. */
     public fun validate(plans: List<Plan>, allowances: List<Allowance>): Either<Fault, Unit> {
         val names = plans.map { it.name }.toSet()
         val faults =
--- a/plans/src/main/kotlin/dev/bronzeshore/plans/ConfigurationWriter.kt
+++ b/plans/src/main/kotlin/dev/bronzeshore/plans/ConfigurationWriter.kt
@@ -28,15 +28,15 @@
 /**
  * Writes the configuration row and an audit row in one transaction.
  *
- * [onAccepted] gets each configuration that was written, to put it in force here and to push it to the peers.
- * [pause] waits between two attempts.
+ * [onAccepted] is called with each configuration that was written, to put it in force in this process and to push it
+ * to the peers. [backoff] waits between two attempts.
  */
 public class ConfigurationWriter(
     private val table: TableApi,
     private val clock: ClockMs,
     private val newWriteId: () -> String,
     private val onAccepted: (configuration: Configuration) -> Unit = {},
-    private val pause: suspend (attempt: Int) -> Unit = { delay(it * RETRY_STEP_MS) },
+    private val backoff: suspend (attempt: Int) -> Unit = { delay(it * BACKOFF_STEP_MS) },
 ) {
     /** Puts plans and allowances in force; marks on VMs stay as they are. */
     public suspend fun apply(request: ApplyRequest): Either<Fault, ApplyAnswer> = either {
@@ -49,7 +49,11 @@
         change(edit, request.expectedVersion, request.dryRun).bind()
     }
 
-    /** Sets the mark of a VM; a conflict with another writer is retried, because marks do not depend on the rest. */
+    /**
+     * Sets the mark of a VM.
+     *
+     * A conflict with another writer is retried, because marks do not depend on the rest of the configuration.
+     */
     public suspend fun mark(vmId: String, request: MarkRequest): Either<Fault, ApplyAnswer> = either {
         requireOperator(request.operator).bind()
         if (!FieldRule.isName(vmId)) {
@@ -63,23 +67,24 @@
     }
 
     private suspend fun changeRetryingConflicts(edit: Edit): Either<Fault, ApplyAnswer> {
-        var answer = change(edit, expectedVersion = null, dryRun = false)
+        var response = change(edit, expectedVersion = null, dryRun = false)
         for (attempt in 1 until MAX_ATTEMPTS) {
-            if (answer.leftOrNull()?.code != ResultCode.VERSION_CONFLICT) {
-                return answer
+            if (response.leftOrNull()?.code != ResultCode.VERSION_CONFLICT) {
+                return response
             }
-            pause(attempt)
-            answer = change(edit, expectedVersion = null, dryRun = false)
+            backoff(attempt)
+            response = change(edit, expectedVersion = null, dryRun = false)
         }
-        return answer
+        return response
     }
 
     private suspend fun change(edit: Edit, expectedVersion: Long?, dryRun: Boolean): Either<Fault, ApplyAnswer> =
         table.read(ConfigurationRow.KEY).flatMap(ConfigurationRow::decode).mapLeft(::notWritten).flatMap { before ->
             val after = edit.change(before).copy(version = before.version + 1)
             val changes = ConfigurationDiffer.describe(before, after)
-            // Content that is already in force is a success at any lower expected version: it is what a repeat of a
-            // command whose answer was lost finds. A higher one cannot have come from this table as it was read.
+            // If the content is already in force, any lower expected version succeeds: this is the state that a command
+            // finds when it is repeated after a lost response. A higher one cannot have come from the table as it was
+            // read.
             val expected = expectedVersion ?: before.version
             when {
                 expected > before.version || (changes.isNotEmpty() && expected < before.version) ->
@@ -93,7 +98,7 @@
             }
         }
 
-    /** Lets the table service confirm that [configuration] is not a stale read, without writing a row. */
+    /** Verifies that [configuration] is not a stale read, with a transaction that has a condition and no writes. */
     private suspend fun confirm(configuration: Configuration): Either<Fault, ApplyAnswer> {
         val condition = Condition(ConfigurationRow.KEY, configuration.version)
         return table.write(Transaction(newWriteId(), listOf(condition))).mapLeft(::notWritten).flatMap { result ->
@@ -114,12 +119,12 @@
         val transaction =
             Transaction(
                 entry.writeId,
-                // The audit row comes first: if it exists, an earlier attempt of this write took effect.
+                // The condition on the audit row comes first: if the row exists, an earlier attempt took effect.
                 listOf(Condition(entry.rowKey, 0), Condition(ConfigurationRow.KEY, before.version)),
                 listOf(ConfigurationRow.put(after), entry.toPut()),
             )
-        return SettledWrite(table, transaction, ConfigurationRow.KEY, entry.rowKey)
-            .run(MAX_ATTEMPTS, pause)
+        return WriteResolver(table, transaction, ConfigurationRow.KEY, entry.rowKey)
+            .run(MAX_ATTEMPTS, backoff)
             .flatMap { result ->
                 when (result) {
                     is WriteResult.Conflict -> conflict(before.version, result.actualVersion).left()
@@ -157,7 +162,7 @@
         Unit.right()
     }
 
-    /** Before the write is sent, nothing can have been written, whatever the code of the fault says. */
+    /** Maps the fault of a call that writes no rows: nothing can have been written, whatever its code says. */
     private fun notWritten(fault: Fault): Fault = if (fault.code.outcome == Outcome.NOT_RUN) {
         fault
     } else {
@@ -175,6 +180,6 @@
 
     private companion object {
         const val MAX_ATTEMPTS = 5
-        const val RETRY_STEP_MS = 40L
+        const val BACKOFF_STEP_MS = 40L
     }
 }
--- a/plans/src/main/kotlin/dev/bronzeshore/plans/DocumentFields.kt
+++ b/plans/src/main/kotlin/dev/bronzeshore/plans/DocumentFields.kt
@@ -17,15 +17,15 @@
 internal fun JsonElement?.number(name: String): Long? =
     (field(name) as? JsonPrimitive)?.takeIf { !it.isString }?.longOrNull
 
-/** Reports each value that was already used; fields that are missing are somebody else's fault. */
-internal fun Document.reportRepeats(what: String, values: List<Named>, secret: Boolean = false) {
+/** Reports each value that occurs again; missing fields are skipped, because another check reports them. */
+internal fun Document.reportDuplicateValues(what: String, values: List<UniqueValue>, secret: Boolean = false) {
     val firstPaths = HashMap<String, String>()
     for ((path, value) in values) {
         if (value == null) {
             continue
         }
         val first = firstPaths.putIfAbsent(value, path) ?: continue
-        val shown = if (secret) "This $what" else "The $what \"$value\""
-        report(ResultCode.DUPLICATE_KEY, path, "$shown is already used at $first.", "a $what that is used once")
+        val subject = if (secret) "This $what" else "The $what \"$value\""
+        report(ResultCode.DUPLICATE_KEY, path, "$subject is already used at $first.", "a $what that is used once")
     }
 }
--- a/plans/src/main/kotlin/dev/bronzeshore/plans/DocumentReader.kt
+++ b/plans/src/main/kotlin/dev/bronzeshore/plans/DocumentReader.kt
@@ -1,4 +1,4 @@
-/** Reads a JSON document with comments into a model and reports all of its faults in one go. */
+/** Reads a JSON document with comments into a model and reports all of its faults together. */
 package dev.bronzeshore.plans
 
 import arrow.core.Either
@@ -15,17 +15,17 @@
 import kotlinx.serialization.json.JsonElement
 
 /**
- * Reader for documents that people write.
+ * Reader for documents written by people.
  *
- * [rules] check single values; [checkWhole] checks what spans several fields, and has to cope with fields that are
- * missing or of the wrong type, because it also runs on documents with other faults.
+ * [rules] check single values; [checkDocument] checks conditions across several fields, and must tolerate fields that
+ * are missing or of the wrong type, because it also runs on documents with other faults.
  */
 public class DocumentReader<T>(
     private val serializer: KSerializer<T>,
     private val rules: List<FieldRule> = emptyList(),
-    private val checkWhole: (document: Document) -> Unit = {},
+    private val checkDocument: (document: Document) -> Unit = {},
 ) {
-    /** Reads [text]; [file] is only used to say where a fault is. */
+    /** Reads [text]; [file] is only used in the locations of faults. */
     public fun read(file: String, text: String): Either<NonEmptyList<Fault>, T> {
         val root =
             try {
@@ -44,8 +44,8 @@
 
     private fun check(document: Document): Either<NonEmptyList<Fault>, T> {
         document.reportDuplicateKeys()
-        ShapeChecker(document, rules).check(document.root, serializer.descriptor, path = "", shape = "")
-        checkWhole(document)
+        SchemaValidator(document, rules).check(document.root, serializer.descriptor, path = "", pathPattern = "")
+        checkDocument(document)
         document.faults.toNonEmptyListOrNull()?.let { return it.left() }
         return decode(document.root).mapLeft { message ->
             document.report(ResultCode.INVALID_VALUE, "", message, "the documented fields")
--- a/plans/src/main/kotlin/dev/bronzeshore/plans/FieldRule.kt
+++ b/plans/src/main/kotlin/dev/bronzeshore/plans/FieldRule.kt
@@ -1,4 +1,4 @@
-/** Rules for single values that the shape of a document does not express. */
+/** Rules for single values that the types of the model do not express. */
 package dev.bronzeshore.plans
 
 import dev.bronzeshore.core.ResultCode
@@ -6,12 +6,12 @@
 import kotlinx.serialization.json.longOrNull
 
 /**
- * A rule for the values at [shape], a field path with empty indexes such as `plans[].kinds[].weight`.
+ * A rule for the values at [pathPattern], a field path with empty indexes such as `plans[].kinds[].weight`.
  *
  * [secret] keeps the value out of messages: a plain token may have been written where its hash belongs.
  */
 public data class FieldRule(
-    public val shape: String,
+    public val pathPattern: String,
     public val code: ResultCode,
     public val accepted: String,
     public val secret: Boolean = false,
@@ -23,19 +23,19 @@
         // Names become parts of row keys, URLs and metric labels.
         private val NAME = Regex("[\\p{L}\\p{N}][\\p{L}\\p{N}._-]*")
 
-        /** True if [name] can name a plan, kind, data centre, service or VM. */
+        /** Whether [name] can name a plan, kind, data centre, service or VM. */
         public fun isName(name: String): Boolean = name.length <= MAX_NAME_LENGTH && NAME.matches(name)
 
         /** Accepts names of letters, digits, '.', '_' and '-'. */
-        public fun name(shape: String): FieldRule = FieldRule(
-            shape,
+        public fun name(pathPattern: String): FieldRule = FieldRule(
+            pathPattern,
             ResultCode.INVALID_VALUE,
             "1 to $MAX_NAME_LENGTH letters, digits, '.', '_' or '-', starting with a letter or digit",
         ) { isName(it.content) }
 
         /** Accepts whole numbers from [min] to [max]. */
-        public fun number(shape: String, min: Long, max: Long): FieldRule =
-            FieldRule(shape, ResultCode.INVALID_SIZE, "a whole number from $min to $max") {
+        public fun number(pathPattern: String, min: Long, max: Long): FieldRule =
+            FieldRule(pathPattern, ResultCode.INVALID_SIZE, "a whole number from $min to $max") {
                 it.longOrNull in min..max
             }
     }
--- a/plans/src/main/kotlin/dev/bronzeshore/plans/ItemDiffer.kt
+++ b/plans/src/main/kotlin/dev/bronzeshore/plans/ItemDiffer.kt
@@ -6,16 +6,16 @@
 import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.JsonObject
 
-/** Compares items through their JSON form; the fields in `skipped` are part of the title. */
+/** Compares items by their JSON form, without the fields in `skipped`, which the title already names. */
 internal object ItemDiffer {
-    /** One sentence for each field that changed, or one for an item that was added or removed. */
+    /** Returns one sentence for each field that changed, or a single one for an item that was added or removed. */
     fun <T> describe(title: String, serializer: KSerializer<T>, old: T?, new: T?, skipped: Set<String>): List<String> {
         val before = old?.let { fields(StrictJson.encodeToJsonElement(serializer, it), skipped) }.orEmpty()
         val after = new?.let { fields(StrictJson.encodeToJsonElement(serializer, it), skipped) }.orEmpty()
         return when {
             old == null -> {
-                val given = after.filterValues { it != "null" }
-                listOf("$title added (${given.entries.joinToString { "${it.key} ${it.value}" }})")
+                val presentFields = after.filterValues { it != "null" }
+                listOf("$title added (${presentFields.entries.joinToString { "${it.key} ${it.value}" }})")
             }
 
             new == null -> listOf("$title removed")
@@ -27,7 +27,7 @@
         }
     }
 
-    // Going through JSON covers every field of the models, also fields that are added to them later.
+    // The JSON form covers every field of the models, including fields that are added to them later.
     private fun fields(element: JsonElement, skipped: Set<String>, prefix: String = ""): Map<String, String> =
         buildMap {
             for ((name, value) in element as JsonObject) {
--- a/plans/src/main/kotlin/dev/bronzeshore/plans/LineIndex.kt
+++ b/plans/src/main/kotlin/dev/bronzeshore/plans/LineIndex.kt
@@ -1,4 +1,4 @@
-/** Line numbers of the fields in a JSON text with comments, and the keys that appear twice. */
+/** Line numbers of the fields in a JSON text with comments, and its duplicate keys. */
 package dev.bronzeshore.plans
 
 import dev.bronzeshore.core.StrictJson
@@ -9,13 +9,13 @@
 /**
  * Finds the line of each field of a text that [StrictJson] has already accepted.
  *
- * The JSON parser drops positions and keeps only the last of two equal keys, so this scan finds both. On text that it
- * cannot follow it stops, and later fields get the line of their nearest known parent.
+ * The JSON parser drops positions and keeps only the last of two equal keys, so this scan finds lines and duplicate
+ * keys. It stops at text that it cannot parse; later fields then get the line of their nearest known parent.
  */
 internal class LineIndex(private val text: String) {
     private val lines = HashMap<String, Int>()
     private val found = ArrayList<DuplicateKey>()
-    private var at = 0
+    private var position = 0
     private var line = 1
 
     /** Keys that appear more than once, in the order of the text. */
@@ -37,7 +37,7 @@
     }
 
     private fun scanValue(path: String) {
-        skipBlanks()
+        skipWhitespaceAndComments()
         lines[path] = line
         when (peek()) {
             '{' -> scanObject(path)
@@ -45,13 +45,13 @@
             '"' -> scanString()
             else -> scanLiteral()
         }
-        skipBlanks()
+        skipWhitespaceAndComments()
     }
 
     private fun scanObject(path: String) {
         val keys = HashSet<String>()
         next()
-        skipBlanks()
+        skipWhitespaceAndComments()
         while (peek() == '"') {
             val keyLine = line
             val key = decodeString(scanString())
@@ -59,7 +59,7 @@
             if (!keys.add(key)) {
                 found += DuplicateKey(child, keyLine)
             }
-            skipBlanks()
+            skipWhitespaceAndComments()
             next()
             scanValue(child)
             skipComma()
@@ -70,12 +70,12 @@
     private fun scanArray(path: String) {
         var index = 0
         next()
-        skipBlanks()
-        while (at < text.length && peek() != ']') {
-            val start = at
+        skipWhitespaceAndComments()
+        while (position < text.length && peek() != ']') {
+            val start = position
             scanValue("$path[$index]")
             skipComma()
-            if (at == start) {
+            if (position == start) {
                 return
             }
             index++
@@ -84,20 +84,20 @@
     }
 
     private fun scanString(): String {
-        val start = at
+        val start = position
         next()
-        while (at < text.length && peek() != '"') {
+        while (position < text.length && peek() != '"') {
             if (peek() == '\\') {
                 next()
             }
             next()
         }
         next()
-        return text.substring(start, at)
+        return text.substring(start, position)
     }
 
     private fun scanLiteral() {
-        while (at < text.length && !peek().isWhitespace() && peek() !in STRUCTURE) {
+        while (position < text.length && !peek().isWhitespace() && peek() !in STRUCTURAL_CHARACTERS) {
             next()
         }
     }
@@ -106,35 +106,35 @@
         if (peek() == ',') {
             next()
         }
-        skipBlanks()
+        skipWhitespaceAndComments()
     }
 
-    private fun skipBlanks() {
-        while (at < text.length) {
+    private fun skipWhitespaceAndComments() {
+        while (position < text.length) {
             when {
                 peek().isWhitespace() -> next()
-                text.startsWith("//", at) -> skipTo("\n")
-                text.startsWith("/*", at) -> skipTo("*/")
+                text.startsWith("//", position) -> skipTo("\n")
+                text.startsWith("/*", position) -> skipTo("*/")
                 else -> return
             }
         }
     }
 
     private fun skipTo(end: String) {
-        val stop = text.indexOf(end, at + 2).let { if (it < 0) text.length else it + end.length }
-        while (at < stop) {
+        val stop = text.indexOf(end, position + 2).let { if (it < 0) text.length else it + end.length }
+        while (position < stop) {
             next()
         }
     }
 
-    private fun peek(): Char = if (at < text.length) text[at] else END
+    private fun peek(): Char = if (position < text.length) text[position] else END_OF_TEXT
 
     private fun next() {
         if (peek() == '\n') {
             line++
         }
-        if (at < text.length) {
-            at++
+        if (position < text.length) {
+            position++
         }
     }
 
@@ -142,8 +142,8 @@
         runCatching { StrictJson.decodeFromString<String>(raw) }.getOrDefault(raw.trim('"'))
 
     companion object {
-        private const val STRUCTURE = ",:[]{}\""
-        private const val END = '\u0000'
+        private const val STRUCTURAL_CHARACTERS = ",:[]{}\""
+        private const val END_OF_TEXT = '\u0000'
 
         /** Line of the character at [offset]. */
         fun lineAt(text: String, offset: Int): Int = 1 + text.take(offset).count { it == '\n' }
--- a/plans/src/main/kotlin/dev/bronzeshore/plans/PlanListReader.kt
+++ b/plans/src/main/kotlin/dev/bronzeshore/plans/PlanListReader.kt
@@ -26,18 +26,21 @@
 
     private fun checkUniqueness(document: Document) {
         val plans = document.root.field("plans").items()
-        document.reportRepeats("plan name", plans.mapIndexed { i, plan -> Named("plans[$i].name", plan.text("name")) })
-        val tokens = plans.mapIndexed { i, plan -> Named("plans[$i].tokenSha256", plan.text("tokenSha256")) }
-        document.reportRepeats("token", tokens, secret = true)
+        document.reportDuplicateValues(
+            "plan name",
+            plans.mapIndexed { i, plan -> UniqueValue("plans[$i].name", plan.text("name")) },
+        )
+        val tokens = plans.mapIndexed { i, plan -> UniqueValue("plans[$i].tokenSha256", plan.text("tokenSha256")) }
+        document.reportDuplicateValues("token", tokens, secret = true)
         plans.forEachIndexed { i, plan ->
             val kinds = plan.field("kinds").items()
-            val names = kinds.mapIndexed { k, kind -> Named("plans[$i].kinds[$k].name", kind.text("name")) }
-            document.reportRepeats("kind", names)
+            val names = kinds.mapIndexed { k, kind -> UniqueValue("plans[$i].kinds[$k].name", kind.text("name")) }
+            document.reportDuplicateValues("kind", names)
         }
     }
 
     private companion object {
-        // Far above any useful ratio between two shares, and low enough that sums of weights cannot overflow.
+        // Far above any useful ratio of two shares, and low enough that sums of weights cannot overflow.
         const val MAX_WEIGHT = 1_000_000L
         val TOKEN_SHA256 = Regex("[0-9a-f]{64}")
         val RULES =
--- a/plans/src/main/kotlin/dev/bronzeshore/plans/ShapeChecker.kt
+++ b/plans/src/main/kotlin/dev/bronzeshore/plans/SchemaValidator.kt
@@ -1,4 +1,4 @@
-/** Compares a JSON document with the model it is to become, and collects every difference. */
+/** Compares a JSON document with the serial descriptor of its model and reports every difference. */
 @file:OptIn(ExperimentalSerializationApi::class)
 
 package dev.bronzeshore.plans
@@ -21,29 +21,29 @@
 import kotlinx.serialization.json.longOrNull
 
 /** Walks [document] along a serial descriptor; unlike a decoder it does not stop at the first fault. */
-internal class ShapeChecker(private val document: Document, rules: List<FieldRule>) {
-    private val rulesByShape = rules.groupBy { it.shape }
+internal class SchemaValidator(private val document: Document, rules: List<FieldRule>) {
+    private val rulesByPathPattern = rules.groupBy { it.pathPattern }
 
-    fun check(element: JsonElement, descriptor: SerialDescriptor, path: String, shape: String) {
+    fun check(element: JsonElement, descriptor: SerialDescriptor, path: String, pathPattern: String) {
         when {
             element is JsonNull && descriptor.isNullable -> return
-            descriptor.isInline -> check(element, descriptor.getElementDescriptor(0), path, shape)
-            else -> checkKind(element, descriptor, path, shape)
+            descriptor.isInline -> check(element, descriptor.getElementDescriptor(0), path, pathPattern)
+            else -> checkKind(element, descriptor, path, pathPattern)
         }
     }
 
-    private fun checkKind(element: JsonElement, descriptor: SerialDescriptor, path: String, shape: String) {
+    private fun checkKind(element: JsonElement, descriptor: SerialDescriptor, path: String, pathPattern: String) {
         when (descriptor.kind) {
-            StructureKind.CLASS, StructureKind.OBJECT -> checkObject(element, descriptor, path, shape)
-            StructureKind.LIST -> checkList(element, descriptor, path, shape)
-            StructureKind.MAP -> checkMap(element, descriptor, path, shape)
+            StructureKind.CLASS, StructureKind.OBJECT -> checkObject(element, descriptor, path, pathPattern)
+            StructureKind.LIST -> checkList(element, descriptor, path, pathPattern)
+            StructureKind.MAP -> checkMap(element, descriptor, path, pathPattern)
             SerialKind.ENUM -> checkEnum(element, descriptor, path)
-            is PrimitiveKind -> checkPrimitive(element, descriptor.kind as PrimitiveKind, path, shape)
+            is PrimitiveKind -> checkPrimitive(element, descriptor.kind as PrimitiveKind, path, pathPattern)
             else -> return
         }
     }
 
-    private fun checkObject(element: JsonElement, descriptor: SerialDescriptor, path: String, shape: String) {
+    private fun checkObject(element: JsonElement, descriptor: SerialDescriptor, path: String, pathPattern: String) {
         if (element !is JsonObject) {
             reportType(element, path, "an object with ${descriptor.elementNames.joinToString(", ")}")
             return
@@ -59,7 +59,7 @@
                     accepted,
                 )
             } else {
-                check(value, descriptor.getElementDescriptor(index), childPath(path, key), childPath(shape, key))
+                check(value, descriptor.getElementDescriptor(index), childPath(path, key), childPath(pathPattern, key))
             }
         }
         for (index in 0 until descriptor.elementsCount) {
@@ -71,23 +71,23 @@
         }
     }
 
-    private fun checkList(element: JsonElement, descriptor: SerialDescriptor, path: String, shape: String) {
+    private fun checkList(element: JsonElement, descriptor: SerialDescriptor, path: String, pathPattern: String) {
         if (element !is JsonArray) {
             reportType(element, path, "a list")
             return
         }
         element.forEachIndexed { index, item ->
-            check(item, descriptor.getElementDescriptor(0), "$path[$index]", "$shape[]")
+            check(item, descriptor.getElementDescriptor(0), "$path[$index]", "$pathPattern[]")
         }
     }
 
-    private fun checkMap(element: JsonElement, descriptor: SerialDescriptor, path: String, shape: String) {
+    private fun checkMap(element: JsonElement, descriptor: SerialDescriptor, path: String, pathPattern: String) {
         if (element !is JsonObject) {
             reportType(element, path, "an object")
             return
         }
         for ((key, value) in element) {
-            check(value, descriptor.getElementDescriptor(1), childPath(path, key), "$shape{}")
+            check(value, descriptor.getElementDescriptor(1), childPath(path, key), "$pathPattern{}")
         }
     }
 
@@ -100,7 +100,7 @@
         }
     }
 
-    private fun checkPrimitive(element: JsonElement, kind: PrimitiveKind, path: String, shape: String) {
+    private fun checkPrimitive(element: JsonElement, kind: PrimitiveKind, path: String, pathPattern: String) {
         if (element !is JsonPrimitive || element is JsonNull || element.isString != (kind == PrimitiveKind.STRING)) {
             reportType(element, path, describe(kind))
             return
@@ -114,7 +114,7 @@
                 else -> true
             }
         if (representable) {
-            applyRules(element, path, shape)
+            applyRules(element, path, pathPattern)
         } else if (WHOLE_NUMBER.matches(element.content) && kind != PrimitiveKind.BOOLEAN) {
             val message = "The number ${element.content} is out of range."
             document.report(ResultCode.INVALID_SIZE, path, message, describe(kind))
@@ -123,8 +123,8 @@
         }
     }
 
-    private fun applyRules(element: JsonPrimitive, path: String, shape: String) {
-        for (rule in rulesByShape[shape].orEmpty().filterNot { it.holds(element) }) {
+    private fun applyRules(element: JsonPrimitive, path: String, pathPattern: String) {
+        for (rule in rulesByPathPattern[pathPattern].orEmpty().filterNot { it.holds(element) }) {
             val message = if (rule.secret) "The value is not accepted here." else "The value $element is not accepted."
             document.report(rule.code, path, message, rule.accepted)
         }
--- a/plans/src/main/kotlin/dev/bronzeshore/plans/SettledWrite.kt
+++ b/plans/src/main/kotlin/dev/bronzeshore/plans/WriteResolver.kt
@@ -1,4 +1,4 @@
-/** A conditional write of one row that ends with a known outcome whenever the table service can be asked. */
+/** A conditional write whose outcome becomes known as long as the table service responds. */
 package dev.bronzeshore.plans
 
 import arrow.core.Either
@@ -15,53 +15,53 @@
 /**
  * Sends one transaction until its outcome is known.
  *
- * [guardKey] is the row whose version the transaction requires. [receiptKey] is a row that only this transaction
- * creates, with the condition that it does not exist: it shows that the write took effect even after another writer
- * has replaced the guarded row. Because of the condition on the guarded row, sending the transaction again cannot apply
- * it twice.
+ * [guardKey] is the row whose version the transaction requires. [markerKey] is a row that only this transaction
+ * creates, on condition that it does not exist: it shows that the write took effect even after another writer has
+ * replaced the guarded row. Because of the condition on the guarded row, repeating the transaction cannot apply it
+ * twice.
  */
-internal class SettledWrite(
+internal class WriteResolver(
     private val table: TableApi,
     private val transaction: Transaction,
     private val guardKey: String,
-    private val receiptKey: String,
+    private val markerKey: String,
 ) {
-    private var mayHaveBeenSent = false
+    private var mayHaveTakenEffect = false
 
-    /** Tries up to [attempts] times, with [pause] between two of them. */
-    suspend fun run(attempts: Int, pause: suspend (attempt: Int) -> Unit): Either<Fault, WriteResult> {
+    /** Makes up to [attempts] attempts and calls [backoff] between two of them. */
+    suspend fun run(attempts: Int, backoff: suspend (attempt: Int) -> Unit): Either<Fault, WriteResult> {
         for (attempt in 1..attempts) {
-            val answer = table.write(transaction)
-            answer.onRight { return settleAnswer(it) }
-            answer.onLeft { fault ->
-                if (fault.code.outcome == Outcome.NOT_RUN && !mayHaveBeenSent) {
-                    return answer
+            val response = table.write(transaction)
+            response.onRight { return resolveResult(it) }
+            response.onLeft { fault ->
+                if (fault.code.outcome == Outcome.NOT_RUN && !mayHaveTakenEffect) {
+                    return response
                 }
-                mayHaveBeenSent = true
+                mayHaveTakenEffect = true
             }
-            if (showsThisWrite(guardKey)) {
+            if (hasOwnWriteId(guardKey)) {
                 return WriteResult.Applied.right()
             }
             if (attempt < attempts) {
-                pause(attempt)
+                backoff(attempt)
             }
         }
         return unknown("the table service does not answer").left()
     }
 
-    private suspend fun settleAnswer(result: WriteResult): Either<Fault, WriteResult> = when {
+    private suspend fun resolveResult(result: WriteResult): Either<Fault, WriteResult> = when {
         result !is WriteResult.Conflict -> result.right()
-        result.key == receiptKey || showsThisWrite(guardKey) -> WriteResult.Applied.right()
-        !mayHaveBeenSent -> result.right()
-        else -> settleByReceipt(result)
+        result.key == markerKey || hasOwnWriteId(guardKey) -> WriteResult.Applied.right()
+        !mayHaveTakenEffect -> result.right()
+        else -> resolveByMarker(result)
     }
 
     /**
      * An earlier attempt of this write may have caused the conflict, and another writer may have replaced its row.
-     * A condition tells whether the receipt exists: unlike a read, the table service cannot answer it with old data.
+     * A condition shows whether the marker row exists: unlike a read, it is never checked against stale data.
      */
-    private suspend fun settleByReceipt(conflict: WriteResult.Conflict): Either<Fault, WriteResult> {
-        val probe = Transaction("${transaction.writeId}-probe", listOf(Condition(receiptKey, 0)))
+    private suspend fun resolveByMarker(conflict: WriteResult.Conflict): Either<Fault, WriteResult> {
+        val probe = Transaction("${transaction.writeId}-probe", listOf(Condition(markerKey, 0)))
         return table.write(probe).fold(
             { unknown(it.message).left() },
             { (if (it is WriteResult.Conflict) WriteResult.Applied else conflict).right() },
@@ -75,6 +75,6 @@
         "a repeat of the same command",
     )
 
-    private suspend fun showsThisWrite(key: String): Boolean =
+    private suspend fun hasOwnWriteId(key: String): Boolean =
         table.read(key).fold({ false }, { it?.writeId == transaction.writeId })
 }
--- a/plans/src/test/kotlin/dev/bronzeshore/plans/ConfigurationDifferTest.kt
+++ b/plans/src/test/kotlin/dev/bronzeshore/plans/ConfigurationDifferTest.kt
@@ -13,7 +13,7 @@
 import java.security.MessageDigest
 import java.util.HexFormat
 
-/** Guards against changes that an operator is not shown, and tokens that open the wrong plan. */
+/** Guards against changes that are not reported to the operator, and tokens that give access to the wrong plan. */
 class ConfigurationDifferTest {
     private val roster = WorkKind("roster", Policy.GANG)
     private val sheets = WorkKind("printSheet", Policy.BATCH, 2)
@@ -47,7 +47,7 @@
     }
 
     @Test
-    fun `the changed part holds only what differs`() {
+    fun `changed items are only those that differ`() {
         val other = plan.copy(name = "other", kinds = emptyList())
         val after = base.copy(version = 2, plans = listOf(other, plan.copy(kinds = listOf(sheets, roster))))
         assertEquals(Configuration(2, listOf(other)), ConfigurationDiffer.changedItems(after, base))
@@ -55,9 +55,11 @@
     }
 
     @Test
-    fun `a token opens only its own plan`() {
-        val broken = Plan("broken", "xyz", emptyList())
-        val authenticator = Authenticator(listOf(broken, plan, plan.copy(name = "other", tokenSha256 = sha256("two"))))
+    fun `a token gives access to its own plan only`() {
+        val planWithInvalidHash = Plan("broken", "xyz", emptyList())
+        val authenticator = Authenticator(
+            listOf(planWithInvalidHash, plan, plan.copy(name = "other", tokenSha256 = sha256("two"))),
+        )
         val cases = mapOf("one" to "utility", "two" to "other", "" to null, "xyz" to null, sha256("one") to null)
         for ((token, expected) in cases) {
             assertEquals(expected, authenticator.planOf(token)?.name)
--- a/plans/src/test/kotlin/dev/bronzeshore/plans/ConfigurationHolderTest.kt
+++ b/plans/src/test/kotlin/dev/bronzeshore/plans/ConfigurationHolderTest.kt
@@ -7,26 +7,26 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** Guards against a configuration that goes back to an older version. */
+/** Guards against a return to an older configuration, and listeners that are not called after another one failed. */
 class ConfigurationHolderTest {
     @Test
-    fun `only a higher version is taken, and a failing listener does not stop the others`() = runBlocking {
+    fun `only a higher version comes into force, and a failing listener does not stop the others`() = runBlocking {
         val table = FakeTable()
         val holder = ConfigurationHolder()
-        val seen = mutableListOf<Long>()
+        val versions = mutableListOf<Long>()
         holder.addListener { error("broken listener") }
-        holder.addListener { seen += it.version }
+        holder.addListener { versions += it.version }
         val refresher = ConfigurationRefresher(table.api, holder)
         table.readFault = Fault(ResultCode.STORE_UNAVAILABLE, "down")
         assertEquals(true, refresher.refresh().isLeft())
         assertEquals(false, holder.isKnown)
         table.readFault = null
         assertEquals(true, refresher.refresh().getOrNull())
-        val offers = listOf(3L to true, 2L to false, 3L to false, 4L to true).map { (version, taken) ->
-            taken to holder.offer(Configuration(version))
+        val offers = listOf(3L to true, 2L to false, 3L to false, 4L to true).map { (version, isAccepted) ->
+            isAccepted to holder.offer(Configuration(version))
         }
         assertEquals(offers.map { it.first }, offers.map { it.second })
         assertEquals(false, refresher.refresh().getOrNull())
-        assertEquals(listOf(0L, 3L, 4L), seen)
+        assertEquals(listOf(0L, 3L, 4L), versions)
     }
 }
--- a/plans/src/test/kotlin/dev/bronzeshore/plans/ConfigurationWriterTest.kt
+++ b/plans/src/test/kotlin/dev/bronzeshore/plans/ConfigurationWriterTest.kt
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
 
-/** Guards against configuration changes that are lost, applied twice, or answered wrongly. */
+/** Guards against configuration changes that are lost, applied twice, or reported with the wrong result. */
 class ConfigurationWriterTest {
     private val table = FakeTable()
     private val accepted = mutableListOf<Configuration>()
@@ -25,7 +25,7 @@
 
     internal data class Case(
         val name: String,
-        val fates: List<WriteFate>,
+        val behaviors: List<WriteBehavior>,
         val otherWriter: Boolean,
         val expected: Any,
     ) {
@@ -33,20 +33,20 @@
     }
 
     @ParameterizedTest
-    @MethodSource("lostAnswers")
-    internal fun `a lost answer is settled`(case: Case) = runBlocking {
-        table.fates += case.fates
+    @MethodSource("lostResponses")
+    internal fun `a write whose response was lost is resolved`(case: Case) = runBlocking {
+        table.behaviors += case.behaviors
         if (case.otherWriter) {
             table.afterWrite = { otherWriter().apply(request(null, "other")) }
         }
-        val answer = writer.apply(request(0, "utility")).fold({ it.code }, { it.version })
-        assertEquals(case.expected, answer)
+        val response = writer.apply(request(0, "utility")).fold({ it.code }, { it.version })
+        assertEquals(case.expected, response)
         val ours = table.rows.values.count { it.key.startsWith(AUDIT_PREFIX) && it.key.endsWith("-w1") }
         assertEquals(if (case.expected is Long) 1 else 0, ours)
     }
 
     @Test
-    fun `racing operators get both versions`() = runBlocking {
+    fun `a version conflict reports both versions`() = runBlocking {
         writer.apply(request(0, "a"))
         val fault = writer.apply(request(0, "b")).leftOrNull()
         assertEquals(ResultCode.VERSION_CONFLICT, fault?.code)
@@ -75,9 +75,9 @@
     }
 
     @Test
-    fun `marks survive an apply and a race`() = runBlocking {
+    fun `marks survive an apply and a concurrent write`() = runBlocking {
         writer.mark("vm1", MarkRequest(VmMark.JOINING, "ada"))
-        // The other operator's write lands between the read and the write of this one.
+        // The other operator writes between the read and the write of this one.
         val racing = ConfigurationWriter(table.api, { 1 }, { "x${++writes}" }, {}, {})
         val slowTable = raceOnce { racing.apply(request(1, "a")) }
         val slow = ConfigurationWriter(slowTable, { 2 }, { "y${++writes}" }, {}, {})
@@ -107,18 +107,18 @@
 
     internal companion object {
         @JvmStatic
-        fun lostAnswers(): List<Case> {
-            val lostAfter = WriteFate.LOST_AFTER
-            val lostBefore = WriteFate.LOST_BEFORE
-            val down = WriteFate.DOWN
+        fun lostResponses(): List<Case> {
+            val responseLost = WriteBehavior.RESPONSE_LOST
+            val requestLost = WriteBehavior.REQUEST_LOST
+            val unavailable = WriteBehavior.UNAVAILABLE
             return listOf(
-                Case("down: not run", listOf(down), false, ResultCode.STORE_UNAVAILABLE),
-                Case("lost after the write", listOf(lostAfter), false, 1L),
-                Case("lost before the write", listOf(lostBefore), false, 1L),
-                Case("lost, then down, then back", listOf(lostBefore, down), false, 1L),
-                Case("lost before, another writer came", listOf(lostBefore), true, ResultCode.VERSION_CONFLICT),
-                Case("lost after, another writer came", listOf(lostAfter), true, 1L),
-                Case("never settled", List(5) { lostBefore }, false, ResultCode.WRITE_UNKNOWN),
+                Case("down: not run", listOf(unavailable), false, ResultCode.STORE_UNAVAILABLE),
+                Case("lost after the write", listOf(responseLost), false, 1L),
+                Case("lost before the write", listOf(requestLost), false, 1L),
+                Case("lost, then down, then back", listOf(requestLost, unavailable), false, 1L),
+                Case("lost before, then another write", listOf(requestLost), true, ResultCode.VERSION_CONFLICT),
+                Case("lost after, then another write", listOf(responseLost), true, 1L),
+                Case("never resolved", List(5) { requestLost }, false, ResultCode.WRITE_UNKNOWN),
             )
         }
     }
--- a/plans/src/test/kotlin/dev/bronzeshore/plans/FakeTable.kt
+++ b/plans/src/test/kotlin/dev/bronzeshore/plans/FakeTable.kt
@@ -1,4 +1,4 @@
-/** A table service in memory that can lose answers, be down, or serve stale reads. */
+/** An in-memory table service that can lose requests and responses, be unavailable, or serve stale reads. */
 package dev.bronzeshore.plans
 
 import arrow.core.Either
@@ -13,22 +13,22 @@
 import dev.bronzeshore.core.WriteResult
 import kotlinx.coroutines.yield
 
-/** What happens to one write. */
-internal enum class WriteFate { NORMAL, LOST_BEFORE, LOST_AFTER, DOWN }
+/** How the table handles one write. */
+internal enum class WriteBehavior { NORMAL, REQUEST_LOST, RESPONSE_LOST, UNAVAILABLE }
 
 internal class FakeTable {
     val rows = sortedMapOf<String, Row>()
-    val fates = ArrayDeque<WriteFate>()
+    val behaviors = ArrayDeque<WriteBehavior>()
 
-    /** Runs after the next write, for example to let another writer in. */
+    /** Runs after the next write, for example for a write by another writer. */
     var afterWrite: suspend () -> Unit = {}
     var readFault: Fault? = null
 
-    /** True: the next read gets the row as it was before its last write. */
+    /** If true, a read returns the row as it was before its last write. */
     var staleRead: () -> Boolean = { false }
 
-    /** The order in which conditions are checked is not specified. */
-    var orderOf: (List<Condition>) -> List<Condition> = { it }
+    /** Order in which conditions are checked; the table service does not specify it. */
+    var conditionOrder: (List<Condition>) -> List<Condition> = { it }
 
     private val previous = HashMap<String, Row?>()
 
@@ -49,23 +49,23 @@
 
     private suspend fun write(transaction: Transaction): Either<Fault, WriteResult> {
         yield()
-        val fate = fates.removeFirstOrNull() ?: WriteFate.NORMAL
-        if (fate == WriteFate.DOWN) {
+        val behavior = behaviors.removeFirstOrNull() ?: WriteBehavior.NORMAL
+        if (behavior == WriteBehavior.UNAVAILABLE) {
             return Fault(ResultCode.STORE_UNAVAILABLE, "down").left()
         }
-        val result = if (fate == WriteFate.LOST_BEFORE) null else applyNow(transaction)
+        val result = if (behavior == WriteBehavior.REQUEST_LOST) null else applyTransaction(transaction)
         val hook = afterWrite
         afterWrite = {}
         hook()
-        return if (fate == WriteFate.NORMAL && result != null) {
+        return if (behavior == WriteBehavior.NORMAL && result != null) {
             result.right()
         } else {
-            Fault(ResultCode.WRITE_UNKNOWN, "answer lost").left()
+            Fault(ResultCode.WRITE_UNKNOWN, "response lost").left()
         }
     }
 
-    private fun applyNow(transaction: Transaction): WriteResult {
-        for (condition in orderOf(transaction.conditions)) {
+    private fun applyTransaction(transaction: Transaction): WriteResult {
+        for (condition in conditionOrder(transaction.conditions)) {
             val actual = rows[condition.key]?.version ?: 0
             if (actual != condition.version) {
                 return WriteResult.Conflict(condition.key, actual)
--- a/plans/src/test/kotlin/dev/bronzeshore/plans/ListReadersTest.kt
+++ b/plans/src/test/kotlin/dev/bronzeshore/plans/ListReadersTest.kt
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.MethodSource
 import kotlin.random.Random
 
-/** Guards against faults in the operators' files that are missed, reported one by one, or without a place. */
+/** Guards against faults in the operators' files that are missed, reported one by one, or without a location. */
 class ListReadersTest {
     internal data class Case(val name: String, val text: String, val expected: List<String>) {
         override fun toString() = name
@@ -40,7 +40,7 @@
     }
 
     @Test
-    fun `a damaged file is never a crash, and each fault has a line`() {
+    fun `a damaged file never causes an exception, and each fault has a location`() {
         val valid = """{"plans": [ // x\n {"name": "a", "tokenSha256": "$HASH", "kinds": [{"name": "k"}]}]}"""
         val random = Random(1)
         repeat(5_000) {
@@ -103,7 +103,7 @@
         @JvmStatic
         fun allowanceCases() = listOf(
             Case(
-                "a line comment with brackets does not shift lines",
+                "a line comment with brackets does not change line numbers",
                 "{\"allowances\": [ // ]}\n{\"plan\": \"utility\", \"dataCentre\": \"a\",\n" +
                     "\"limit\": {\"processorsMillicores\": -1, \"memoryBytes\": 0}}]}",
                 listOf("1005 allowances.json:3 allowances[0].limit.processorsMillicores"),
