--- a/plans/src/main/kotlin/dev/bronzeshore/plans/UniqueValue.kt
+++ b/plans/src/main/kotlin/dev/bronzeshore/plans/UniqueValue.kt
@@ -1,5 +1,5 @@
-/** Values of a document that must be unique. */
+/** A value that is checked for uniqueness. */
 package dev.bronzeshore.plans
 
-/** A value that must be unique, with the path of its field; null if missing or malformed. */
+/** A value that must be unique, with the path of the field that holds it; null if it is missing or malformed. */
 internal data class UniqueValue(val path: String, val value: String?)
