--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/AuditCommand.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/AuditCommand.kt
@@ -1,4 +1,4 @@
-/** `audit`: who changed what and when. */
+/** `audit`: shows who changed what and when. */
 package dev.bronzeshore.ctl
 
 import arrow.core.Either
@@ -30,13 +30,13 @@
 
     override suspend fun run(context: CtlContext): Either<CtlFailure, Unit> = either {
         val entries = readEntries(context) { true }.bind()
-        show(context, ListSerializer(AuditEntry.serializer()), entries, Render::auditEntries)
+        show(context, ListSerializer(AuditEntry.serializer()), entries, TextRenderer::auditEntries)
     }
 
-    /** The newest entries that [wanted] accepts, at most as many as `--limit` says. */
+    /** Returns the newest entries that match [predicate], at most `--limit` of them, the newest last. */
     protected suspend fun readEntries(
         context: CtlContext,
-        wanted: (AuditEntry) -> Boolean,
+        predicate: (AuditEntry) -> Boolean,
     ): Either<CtlFailure, List<AuditEntry>> = either {
         val sinceMs = parseSince(context.clock()).bind()
         if (limit < 1) {
@@ -46,23 +46,23 @@
         val newest = ArrayDeque<AuditEntry>()
         var after = auditKeyPrefix(sinceMs)
         do {
-            val page = client.audit(after, PAGE).bind()
-            for (entry in page.filter(wanted)) {
+            val page = client.audit(after, PAGE_SIZE).bind()
+            for (entry in page.filter(predicate)) {
                 newest += entry
                 if (newest.size > limit) {
                     newest.removeFirst()
                 }
             }
             val last = page.lastOrNull()?.rowKey
-            // A server that answers with the same page again must not keep the command running for ever.
-            val progress = last != null && last > after
+            // Stops if the server returns the same page again, which would otherwise be an endless loop.
+            val hasAdvanced = last != null && last > after
             after = last ?: after
-        } while (progress)
+        } while (hasAdvanced)
         newest.toList()
     }
 
     private fun parseSince(nowMs: Long): Either<CtlFailure, Long> {
-        val match = PERIOD.matchEntire(since)
+        val match = PERIOD_PATTERN.matchEntire(since)
         return try {
             if (match == null) {
                 Instant.parse(since).toEpochMilli().right()
@@ -78,7 +78,7 @@
 
     private companion object {
         const val DEFAULT_LIMIT = 200
-        const val PAGE = 500
-        val PERIOD = Regex("(\\d{1,6})([mhd])")
+        const val PAGE_SIZE = 500
+        val PERIOD_PATTERN = Regex("(\\d{1,6})([mhd])")
     }
 }
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/ChangeCommand.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/ChangeCommand.kt
@@ -1,9 +1,9 @@
-/** The common part of all commands that change something. */
+/** Base class of all commands that change something. */
 package dev.bronzeshore.ctl
 
 import org.kohsuke.args4j.Option
 
-/** A command that can be tried with `--dry-run`. */
+/** A command that supports `--dry-run`. */
 internal abstract class ChangeCommand : ServerCommand() {
     @field:Option(name = "--dry-run", usage = "shows what would change and changes nothing")
     var dryRun: Boolean = false
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/CheckCommand.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/CheckCommand.kt
@@ -1,4 +1,4 @@
-/** `check`: checks files offline. */
+/** `check`: checks plans, allowances and settings offline. */
 package dev.bronzeshore.ctl
 
 import arrow.core.Either
@@ -31,7 +31,7 @@
             "\"allowances\" tells what a file holds. Allowances are checked against the plans of the same call, if any."
 
     override suspend fun run(context: CtlContext): Either<CtlFailure, Unit> = either {
-        val documents = files.map { CheckedFile.of(it, readText(Path.of(it)).bind()) }
+        val documents = files.map { CheckedFile.parse(it, readText(Path.of(it)).bind()) }
         val planNames = documents.mapNotNull { it.planNames }.takeIf { it.isNotEmpty() }?.flatten()?.toSet()
         val faults = documents.flatMap { check(it, planNames, context).bind() }
         if (faults.isNotEmpty()) {
@@ -50,10 +50,10 @@
         val (file, text) = document
         val checkSettings = context.checkSettings
         return when {
-            document.holds("plans") || document.root == null ->
+            document.hasField("plans") || document.root == null ->
                 PlanListReader().read(file, text).leftOrNull().orEmpty().right()
 
-            document.holds("allowances") ->
+            document.hasField("allowances") ->
                 AllowanceListReader(planNames).read(file, text).leftOrNull().orEmpty().right()
 
             checkSettings != null -> checkSettings(file, text).right()
@@ -67,9 +67,9 @@
         }
     }
 
-    /** A file that is checked; [root] is null if the text is not JSON, which any reader then reports. */
+    /** A file to check; [root] is null if the text is not JSON, which the reader of the file reports as a fault. */
     private data class CheckedFile(val file: String, val text: String, val root: JsonElement?) {
-        fun holds(field: String): Boolean = (root as? JsonObject)?.containsKey(field) == true
+        fun hasField(field: String): Boolean = (root as? JsonObject)?.containsKey(field) == true
 
         val planNames: List<String>?
             get() {
@@ -78,7 +78,7 @@
             }
 
         companion object {
-            fun of(file: String, text: String): CheckedFile {
+            fun parse(file: String, text: String): CheckedFile {
                 val root =
                     try {
                         StrictJson.parseToJsonElement(text)
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/CommandGroup.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/CommandGroup.kt
@@ -1,4 +1,4 @@
-/** A word that is followed by another command, such as `plans` in `plans apply`. */
+/** A command with subcommands, such as `plans` in `plans apply`. */
 package dev.bronzeshore.ctl
 
 import arrow.core.Either
@@ -6,11 +6,11 @@
 import dev.bronzeshore.core.ResultCode
 import org.kohsuke.args4j.spi.SubCommands
 
-/** A group of commands, listed in the [SubCommands] annotation of its field `action`. */
+/** A group of commands; the [SubCommands] annotation of its field `action` lists them. */
 internal abstract class CommandGroup : Command() {
     abstract val selected: Command?
 
-    /** The commands of this group by the word that selects them. */
+    /** New instances of the commands of this group by name. */
     val commands: Map<String, Command>
         get() =
             javaClass
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/ConfigurationFiles.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/ConfigurationFiles.kt
@@ -1,4 +1,4 @@
-/** The operators' two files, read and checked offline. */
+/** Reads and checks the operators' two configuration files offline. */
 package dev.bronzeshore.ctl
 
 import arrow.core.Either
@@ -15,25 +15,25 @@
 
 /** Content of `plans.json` and `allowances.json`. */
 internal data class ConfigurationFiles(val plans: List<Plan>, val allowances: List<Allowance>) {
-    /** The configuration that would be in force after these files replaced the lists of [current]. */
-    fun over(current: Configuration): Configuration = current.copy(plans = plans, allowances = allowances)
+    /** Returns [current] with its plans and allowances replaced by those of these files. */
+    fun applyTo(current: Configuration): Configuration = current.copy(plans = plans, allowances = allowances)
 
     companion object {
-        const val USAGE = "directory of plans.json and allowances.json; default: the current one"
+        const val DIRECTORY_USAGE = "directory of plans.json and allowances.json; default: the current one"
 
         fun readDirectory(directory: String): Either<CtlFailure, ConfigurationFiles> {
             val path = Path.of(directory)
             return read(path.resolve("plans.json"), path.resolve("allowances.json"))
         }
 
-        /** Reads both files and reports the faults of both in one go. */
+        /** Reads both files; a failure lists the faults of both. */
         private fun read(plansFile: Path, allowancesFile: Path): Either<CtlFailure, ConfigurationFiles> = either {
             val plansText = readText(plansFile).bind()
             val allowancesText = readText(allowancesFile).bind()
             val plans = PlanListReader().read(plansFile.toString(), plansText)
-            // With faults in the plans their names are not known, and unknown ones would be reported wrongly.
-            val names = plans.getOrNull()?.map { it.name }?.toSet()
-            val allowances = AllowanceListReader(names).read(allowancesFile.toString(), allowancesText)
+            // If the plans have faults, their names are unknown: plan names in allowances are then not checked.
+            val planNames = plans.getOrNull()?.map { it.name }?.toSet()
+            val allowances = AllowanceListReader(planNames).read(allowancesFile.toString(), allowancesText)
             combine(plans, allowances).bind()
         }
 
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/Ctl.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/Ctl.kt
@@ -1,4 +1,4 @@
-/** The command line: finds the command, runs it and turns failures into exit codes. */
+/** Parses a command line, runs the command and maps failures to exit codes. */
 package dev.bronzeshore.ctl
 
 import dev.bronzeshore.core.Fault
@@ -6,9 +6,9 @@
 import org.kohsuke.args4j.CmdLineException
 import org.kohsuke.args4j.CmdLineParser
 
-/** bronzeshorectl as a function of its surroundings. */
+/** The program bronzeshorectl, without access to the environment other than through [context]. */
 public class Ctl(private val context: CtlContext) {
-    /** Runs one command line and returns how it ended. */
+    /** Runs one command line and returns its exit code. */
     public suspend fun run(arguments: List<String>): ExitCode {
         val root = RootGroup()
         try {
@@ -17,24 +17,24 @@
             Help.usageError(e, arguments).forEach(context.printError)
             return ExitCode.USAGE
         }
-        val command = innermost(root)
+        val command = selectedCommand(root)
         if (command.help) {
-            Help.of(command).forEach(context.printOut)
+            Help.forCommand(command).forEach(context.printOut)
             return ExitCode.OK
         }
         return command.run(context).fold({ report(command, it) }, { ExitCode.OK })
     }
 
-    private fun innermost(command: Command): Command {
+    private fun selectedCommand(command: Command): Command {
         val selected = (command as? CommandGroup)?.selected
-        return if (selected == null || command.help) command else innermost(selected)
+        return if (selected == null || command.help) command else selectedCommand(selected)
     }
 
     private fun report(command: Command, failure: CtlFailure): ExitCode {
-        if (asksForJson(command)) {
+        if (printsJson(command)) {
             context.printError(OutputJson.encodeToString(ListSerializer(Fault.serializer()), failure.faults))
         } else {
-            failure.faults.flatMap(Render::fault).forEach(context.printError)
+            failure.faults.flatMap(TextRenderer::fault).forEach(context.printError)
             if (failure.exitCode == ExitCode.USAGE) {
                 context.printError(Help.seeHelp(command))
             }
@@ -42,7 +42,7 @@
         return failure.exitCode
     }
 
-    private fun asksForJson(command: Command): Boolean = when (command) {
+    private fun printsJson(command: Command): Boolean = when (command) {
         is ServerCommand -> command.json
         is CheckCommand -> command.json
         else -> false
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/CtlContext.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/CtlContext.kt
@@ -1,4 +1,4 @@
-/** Everything that commands need from the outside. */
+/** External dependencies of the commands. */
 package dev.bronzeshore.ctl
 
 import dev.bronzeshore.core.ClockMs
@@ -7,7 +7,7 @@
 /** Checks a settings file of `bronzeshore` offline and returns all faults. */
 public typealias SettingsChecker = (file: String, text: String) -> List<Fault>
 
-/** The surroundings of one run of bronzeshorectl; [checkSettings] is null where settings cannot be checked. */
+/** External dependencies of one run of bronzeshorectl; [checkSettings] is null if settings cannot be checked. */
 public class CtlContext(
     public val environment: (name: String) -> String?,
     public val http: HttpCall,
@@ -15,7 +15,7 @@
     public val printError: (line: String) -> Unit,
     public val readInput: () -> String,
     public val clock: ClockMs,
-    public val newKey: () -> String,
+    public val newIdempotencyKey: () -> String,
     public val userName: String,
     public val checkSettings: SettingsChecker? = null,
 )
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/CtlFailure.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/CtlFailure.kt
@@ -1,10 +1,10 @@
-/** Why a command failed. */
+/** Failure of a command. */
 package dev.bronzeshore.ctl
 
 import dev.bronzeshore.core.Fault
 import dev.bronzeshore.core.ResultCode
 
-/** The exit code together with everything that is to be shown. */
+/** The exit code and the faults to print. */
 internal data class CtlFailure(val exitCode: ExitCode, val faults: List<Fault>) {
     companion object {
         fun usage(
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/ExitCode.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/ExitCode.kt
@@ -1,7 +1,7 @@
 /** Exit codes of bronzeshorectl; docs/bronzeshorectl.md lists the same table. */
 package dev.bronzeshore.ctl
 
-/** How a command ended; numbers are stable, because scripts rely on them. */
+/** Exit code of a command; the numbers are stable, because scripts rely on them. */
 public enum class ExitCode(public val number: Int, public val meaning: String) {
     OK(0, "done"),
     REFUSED(1, "refused with a numbered code; the refused call changed nothing"),
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/Files.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/Files.kt
@@ -1,4 +1,4 @@
-/** Reading files that the operator names. */
+/** Reads files given on the command line. */
 package dev.bronzeshore.ctl
 
 import arrow.core.Either
@@ -8,7 +8,7 @@
 import java.nio.file.Files
 import java.nio.file.Path
 
-/** The text of [file], which has to be UTF-8. */
+/** Reads [file], which must be UTF-8 text. */
 internal fun readText(file: Path): Either<CtlFailure, String> = try {
     Files.readString(file).right()
 } catch (e: IOException) {
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/HttpCall.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/HttpCall.kt
@@ -1,7 +1,7 @@
-/** The HTTP call as a function type, so that tests put a small fake in its place. */
+/** HTTP requests as a function type, so that tests can replace them with a fake. */
 package dev.bronzeshore.ctl
 
-/** One call to the operator port; [body] is JSON. */
+/** A request to the operator port; [body] is JSON. */
 public data class HttpRequest(
     public val method: String,
     public val url: String,
@@ -9,17 +9,17 @@
     public val body: String? = null,
 )
 
-/** How a call ended. */
+/** Outcome of an HTTP request. */
 public sealed interface HttpResult {
-    /** The server answered. */
+    /** The server sent a complete response. */
     public data class Answer(public val status: Int, public val body: String) : HttpResult
 
-    /** No connection could be opened: the request was not sent. */
+    /** No connection could be opened, so the request was not sent. */
     public data class NotSent(public val reason: String) : HttpResult
 
-    /** The request may have been sent, and no complete answer came. */
+    /** The request may have been sent, but no complete response arrived. */
     public data class NoAnswer(public val reason: String) : HttpResult
 }
 
-/** Makes a call and never throws for what the network does. */
+/** Sends a request; network failures are returned as a [HttpResult] and never thrown. */
 public typealias HttpCall = suspend (request: HttpRequest) -> HttpResult
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/JobCancel.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/JobCancel.kt
@@ -7,7 +7,7 @@
 import org.kohsuke.args4j.Argument
 
 internal class JobCancel : ChangeCommand() {
-    @field:Argument(metaVar = "JOB", required = true, usage = JobGroup.ID_USAGE)
+    @field:Argument(metaVar = "JOB", required = true, usage = JobGroup.JOB_ID_USAGE)
     private var job: String = ""
 
     override val synopsis: String = "job cancel JOB"
@@ -18,6 +18,6 @@
     override suspend fun run(context: CtlContext): Either<CtlFailure, Unit> = either {
         val client = client(context).bind()
         val view = if (dryRun) client.job(job).bind() else client.cancel(job).bind()
-        show(context, JobView.serializer(), view, Render::job)
+        show(context, JobView.serializer(), view, TextRenderer::job)
     }
 }
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/JobGroup.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/JobGroup.kt
@@ -1,4 +1,4 @@
-/** `job`: jobs of any plan. */
+/** `job`: commands for jobs of any plan. */
 package dev.bronzeshore.ctl
 
 import org.kohsuke.args4j.Argument
@@ -21,6 +21,6 @@
     override val summary: String = "Submits, shows and cancels jobs."
 
     companion object {
-        const val ID_USAGE = "id of the job"
+        const val JOB_ID_USAGE = "id of the job"
     }
 }
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/JobList.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/JobList.kt
@@ -1,4 +1,4 @@
-/** `job list`: jobs of one or all plans. */
+/** `job list`: lists jobs of one or all plans. */
 package dev.bronzeshore.ctl
 
 import arrow.core.Either
@@ -22,7 +22,7 @@
     override suspend fun run(context: CtlContext): Either<CtlFailure, Unit> = either {
         checkLimit().bind()
         val jobs = client(context).bind().jobs(plan, limit).bind()
-        show(context, ListSerializer(JobView.serializer()), jobs, Render::jobs)
+        show(context, ListSerializer(JobView.serializer()), jobs, TextRenderer::jobs)
     }
 
     private fun checkLimit(): Either<CtlFailure, Unit> = if (limit < 1) {
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/JobSubmit.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/JobSubmit.kt
@@ -28,20 +28,20 @@
 
     override suspend fun run(context: CtlContext): Either<CtlFailure, Unit> = either {
         val text = file?.let { readText(Path.of(it)).bind() } ?: context.readInput()
-        val submission = READER.read(file ?: "(input)", text).mapLeft(CtlFailure::refused).bind()
+        val submission = SUBMISSION_READER.read(file ?: "(input)", text).mapLeft(CtlFailure::refused).bind()
         if (dryRun) {
             show(context, JobSubmission.serializer(), submission) { listOf("dry run: the job is well formed") }
         } else {
-            val usedKey = key ?: context.newKey()
-            // Printed before the call: it is needed when no answer comes.
-            context.printError("idempotency key: $usedKey")
-            val view = client(context).bind().submit(plan, usedKey, submission).bind()
-            show(context, JobView.serializer(), view, Render::job)
+            val idempotencyKey = key ?: context.newIdempotencyKey()
+            // Printed before the call, because a retry needs it if no response arrives.
+            context.printError("idempotency key: $idempotencyKey")
+            val view = client(context).bind().submit(plan, idempotencyKey, submission).bind()
+            show(context, JobView.serializer(), view, TextRenderer::job)
         }
     }
 
     private companion object {
-        val READER =
+        val SUBMISSION_READER =
             DocumentReader(
                 JobSubmission.serializer(),
                 listOf(
--- /dev/null
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/JobTrace.kt
@@ -0,0 +1,75 @@
+/**
+ * Evaluates what the logs of all processes say about one job: the outcome of its submission, when it ran, and why it
+ * was refused, late or failed.
+ */
+package dev.bronzeshore.ctl
+
+private const val REJECTED_PREFIX = "Rejected(reason="
+
+/** [lines] are the lines of all processes, ordered by time. */
+internal class JobTrace(private val lines: List<LogLine>, private val jobId: String) {
+    /** The lines about the job, its steps and its tasks. */
+    val jobLines: List<LogLine> = lines.filter { it.isAbout(jobId) }
+
+    /** Describes each cause that the logs show, in one sentence each. */
+    fun causes(): List<String> {
+        val end = jobLines.lastOrNull { it.event == "job_ended" }
+        val refusals = jobLines.filter {
+            it.event == "submission" && it.fields["outcome"].orEmpty().startsWith(REJECTED_PREFIX)
+        }
+        return refusals.map { describeRefusal(it) } + when {
+            end == null -> listOf("These logs show no end of the job.").filter { refusals.isEmpty() }
+            end.fields["phase"] == "FAILED" -> listOf(describeFailure(end))
+            (end.number("duration_ms") ?: 0) > (end.number("objective_ms") ?: Long.MAX_VALUE) -> describeDelay(end)
+            else -> listOf("It ended as ${end.fields["phase"]} within its objective.")
+        }
+    }
+
+    private fun describeRefusal(submission: LogLine): String {
+        val reason =
+            submission.fields["outcome"].orEmpty().removePrefix(REJECTED_PREFIX).substringBefore(", retryAfterMs")
+        val storeEvent = lines.lastOrNull {
+            it.component == "store" && it.source == submission.source && it.atMs <= submission.atMs
+        }
+        val storeOutage = storeEvent?.takeIf { it.event == "lost" }
+            ?.let {
+                " The store had not served this process for ${submission.atMs - it.atMs} ms: ${it.fields["cause"]}."
+            }
+        return "Refused by ${submission.source}: $reason." + storeOutage.orEmpty()
+    }
+
+    private fun describeFailure(end: LogLine): String {
+        val failuresByWorker = jobLines.filter { it.event == "run_ended" && it.fields["end"] == "FAILED" }
+            .groupingBy { it.fields["worker"] }.eachCount()
+        return "Failed: ${end.fields["reason"]}. Failed runs by worker: " +
+            failuresByWorker.entries.joinToString { "${it.key} ${it.value}" }.ifEmpty { "none in these logs" } + "."
+    }
+
+    private fun describeDelay(end: LogLine): List<String> {
+        val jobKnown = jobLines.firstOrNull { it.event == "job_known" }
+        val firstStart = jobLines.firstOrNull { it.event == "start" }
+        val overMs = (end.number("duration_ms") ?: 0) - (end.number("objective_ms") ?: 0)
+        return listOfNotNull(
+            "Late by $overMs ms.",
+            if (jobKnown != null && firstStart != null) describeWait(jobKnown, firstStart) else null,
+            describeLongestRun(),
+        )
+    }
+
+    private fun describeWait(jobKnown: LogLine, firstStart: LogLine): String {
+        val between = lines.filter { it.atMs in jobKnown.atMs..firstStart.atMs }
+        val advice = between.firstOrNull { it.event == "advice" && it.isAbout(jobId) }
+        val recovery = between.lastOrNull { it.event == "recovery_complete" }
+        return "Its first start came ${firstStart.atMs - jobKnown.atMs} ms after it was known" +
+            advice?.let { "; permission was given after ${it.atMs - jobKnown.atMs} ms" }.orEmpty() +
+            recovery?.let { "; a takeover lasted until ${it.atMs - jobKnown.atMs} ms" }.orEmpty() + "."
+    }
+
+    private fun describeLongestRun(): String? {
+        val starts = jobLines.filter { it.event == "start" }.associateBy { it.fields["task"] to it.fields["run"] }
+        val runs = jobLines.filter { it.event == "run_ended" }
+            .mapNotNull { end -> starts[end.fields["task"] to end.fields["run"]]?.let { end to end.atMs - it.atMs } }
+        val (end, durationMs) = runs.maxByOrNull { it.second } ?: return null
+        return "Its longest run took $durationMs ms on worker ${end.fields["worker"]}."
+    }
+}
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/KtorHttpCall.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/KtorHttpCall.kt
@@ -1,4 +1,4 @@
-/** The HTTP call made with the Ktor client. */
+/** Implementation of [HttpCall] with the Ktor client. */
 package dev.bronzeshore.ctl
 
 import io.ktor.client.HttpClient
@@ -18,10 +18,10 @@
 
 private const val CONNECT_TIMEOUT_MS = 3_000L
 
-// Longer than the server's own attempts to settle a write whose answer was lost.
+// Longer than the server itself tries to resolve a write whose response was lost.
 private const val REQUEST_TIMEOUT_MS = 20_000L
 
-/** Makes one call with a client of its own: a command makes few calls, and nothing stays open between them. */
+/** Sends one request with a new client: commands send few requests and keep no connection open between them. */
 internal suspend fun ktorHttpCall(request: HttpRequest): HttpResult = newClient().use { client ->
     try {
         val response =
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/Main.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/Main.kt
@@ -12,7 +12,7 @@
     exitProcess(exitCode.number)
 }
 
-/** The surroundings of this process; [checkSettings] checks settings of `bronzeshore`, where that is available. */
+/** The context of this process; [checkSettings] checks settings of `bronzeshore`, if that is available. */
 public fun processContext(checkSettings: SettingsChecker? = null): CtlContext = CtlContext(
     environment = System::getenv,
     http = ::ktorHttpCall,
@@ -20,7 +20,7 @@
     printError = System.err::println,
     readInput = { System.`in`.readBytes().decodeToString() },
     clock = System::currentTimeMillis,
-    newKey = { UUID.randomUUID().toString() },
+    newIdempotencyKey = { UUID.randomUUID().toString() },
     userName = System.getProperty("user.name"),
     checkSettings = checkSettings,
 )
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/OutputJson.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/OutputJson.kt
@@ -1,10 +1,10 @@
-/** The form of JSON that is printed for people and scripts. */
+/** Format of printed JSON. */
 package dev.bronzeshore.ctl
 
 import dev.bronzeshore.core.WireJson
 import kotlinx.serialization.json.Json
 
-/** Complete and indented: scripts need not know the default values of fields. */
+/** Indented, and with default values, so that scripts need not know them. */
 internal val OutputJson: Json =
     Json(WireJson) {
         encodeDefaults = true
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/PlansApply.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/PlansApply.kt
@@ -10,7 +10,7 @@
 import org.kohsuke.args4j.Option
 
 internal class PlansApply : AuditedCommand() {
-    @field:Argument(metaVar = "DIR", usage = ConfigurationFiles.USAGE)
+    @field:Argument(metaVar = "DIR", usage = ConfigurationFiles.DIRECTORY_USAGE)
     private var directory: String = "."
 
     @field:Option(name = "--expected-version", metaVar = "N", usage = "refuses if another version is in force")
@@ -26,7 +26,7 @@
         val files = ConfigurationFiles.readDirectory(directory).bind()
         val client = client(context).bind()
         val current = client.configuration().bind()
-        val changes = ConfigurationDiffer.describe(current, files.over(current))
+        val changes = ConfigurationDiffer.describe(current, files.applyTo(current))
         if (!json) {
             context.printOut("version ${current.version} is in force; ${changes.size} changes:")
             changes.forEach { context.printOut("  $it") }
@@ -40,6 +40,6 @@
                 dryRun,
             )
         val answer = client.apply(request).bind()
-        show(context, ApplyAnswer.serializer(), answer) { listOf(Render.applied(it, dryRun)) }
+        show(context, ApplyAnswer.serializer(), answer) { listOf(TextRenderer.applied(it, dryRun)) }
     }
 }
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/PlansDiff.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/PlansDiff.kt
@@ -1,4 +1,4 @@
-/** `plans diff`: what `plans apply` would change. */
+/** `plans diff`: shows what `plans apply` would change. */
 package dev.bronzeshore.ctl
 
 import arrow.core.Either
@@ -7,7 +7,7 @@
 import org.kohsuke.args4j.Argument
 
 internal class PlansDiff : ServerCommand() {
-    @field:Argument(metaVar = "DIR", usage = ConfigurationFiles.USAGE)
+    @field:Argument(metaVar = "DIR", usage = ConfigurationFiles.DIRECTORY_USAGE)
     private var directory: String = "."
 
     override val synopsis: String = "plans diff [DIR]"
@@ -16,7 +16,7 @@
     override suspend fun run(context: CtlContext): Either<CtlFailure, Unit> = either {
         val files = ConfigurationFiles.readDirectory(directory).bind()
         val current = client(context).bind().configuration().bind()
-        val changes = ConfigurationDiffer.describe(current, files.over(current))
+        val changes = ConfigurationDiffer.describe(current, files.applyTo(current))
         show(context, PlansDifference.serializer(), PlansDifference(current.version, changes)) { difference ->
             val title = "version ${difference.version} is in force; ${changes.size} changes"
             listOf(title) + difference.changes.map { "  $it" }
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/PlansDifference.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/PlansDifference.kt
@@ -1,8 +1,8 @@
-/** The difference between files and configuration. */
+/** Output of `plans diff`. */
 package dev.bronzeshore.ctl
 
 import kotlinx.serialization.Serializable
 
-/** The difference between files and configuration, as printed with `--json`. */
+/** The difference between the configuration files and the configuration in force, as printed with `--json`. */
 @Serializable
 internal data class PlansDifference(val version: Long, val changes: List<String>)
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/PlansGroup.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/PlansGroup.kt
@@ -1,4 +1,4 @@
-/** `plans`: the configuration in force and the operators' files. */
+/** `plans`: commands for the configuration in force and the operators' files. */
 package dev.bronzeshore.ctl
 
 import org.kohsuke.args4j.Argument
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/PlansHistory.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/PlansHistory.kt
@@ -1,4 +1,4 @@
-/** `plans history`: the versions of plans and allowances. */
+/** `plans history`: lists the versions of plans and allowances. */
 package dev.bronzeshore.ctl
 
 import arrow.core.Either
@@ -12,7 +12,7 @@
 
     override suspend fun run(context: CtlContext): Either<CtlFailure, Unit> = either {
         val entries = readEntries(context) { it.action == APPLY_ACTION }.bind()
-        show(context, ListSerializer(AuditEntry.serializer()), entries, Render::auditEntries)
+        show(context, ListSerializer(AuditEntry.serializer()), entries, TextRenderer::auditEntries)
     }
 
     private companion object {
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/PlansShow.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/PlansShow.kt
@@ -1,4 +1,4 @@
-/** `plans show`: the configuration in force. */
+/** `plans show`: shows the configuration in force. */
 package dev.bronzeshore.ctl
 
 import arrow.core.Either
@@ -11,6 +11,6 @@
 
     override suspend fun run(context: CtlContext): Either<CtlFailure, Unit> = either {
         val configuration = client(context).bind().configuration().bind()
-        show(context, Configuration.serializer(), configuration, Render::configuration)
+        show(context, Configuration.serializer(), configuration, TextRenderer::configuration)
     }
 }
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/RootGroup.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/RootGroup.kt
@@ -1,4 +1,4 @@
-/** The first word of a command line. */
+/** The top-level commands. */
 package dev.bronzeshore.ctl
 
 import org.kohsuke.args4j.Argument
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/ServerCommand.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/ServerCommand.kt
@@ -1,4 +1,4 @@
-/** The common part of all commands that talk to a server. */
+/** Base class of all commands that call a server. */
 package dev.bronzeshore.ctl
 
 import arrow.core.Either
@@ -11,7 +11,7 @@
 import java.net.URI
 import java.nio.file.Path
 
-/** A command with the options for the server, the token and the form of the output. */
+/** A command with options for the server, the token and the output format. */
 internal abstract class ServerCommand : Command() {
     @field:Option(
         name = "--server",
@@ -30,12 +30,12 @@
     @field:Option(name = "--json", usage = "prints the answer, or the faults, as JSON")
     var json: Boolean = false
 
-    /** The client for the server that options or environment name. */
+    /** Creates a client for the server that the options or environment variables specify. */
     protected fun client(context: CtlContext): Either<CtlFailure, OperatorClient> = either {
-        val url = (server ?: context.environment(SERVER_VARIABLE)) ?: raise(missing("--server", SERVER_VARIABLE))
+        val url = (server ?: context.environment(SERVER_VARIABLE)) ?: raise(missingOption("--server", SERVER_VARIABLE))
         val file =
             (tokenFile ?: context.environment(TOKEN_FILE_VARIABLE))
-                ?: raise(missing("--token-file", TOKEN_FILE_VARIABLE))
+                ?: raise(missingOption("--token-file", TOKEN_FILE_VARIABLE))
         val token = readText(Path.of(file)).bind().trim()
         if (token.isEmpty() || token.any { it.isISOControl() }) {
             raise(CtlFailure.usage("The file does not hold one line with a token.", "a file with one token", file))
@@ -43,7 +43,7 @@
         OperatorClient(checkUrl(url).bind(), token, context.http)
     }
 
-    /** Prints [value] as JSON, or as the lines that [render] makes of it. */
+    /** Prints [value] as JSON, or as the lines that [render] returns. */
     protected fun <T> show(context: CtlContext, serializer: KSerializer<T>, value: T, render: (T) -> List<String>) {
         if (json) {
             context.printOut(OutputJson.encodeToString(serializer, value))
@@ -61,7 +61,7 @@
         }
     }
 
-    private fun missing(option: String, variable: String): CtlFailure = CtlFailure.usage(
+    private fun missingOption(option: String, variable: String): CtlFailure = CtlFailure.usage(
         "The option $option is missing.",
         "$option, or the environment variable $variable",
         option,
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/StatusCommand.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/StatusCommand.kt
@@ -1,4 +1,4 @@
-/** `status`: the state of one process. */
+/** `status`: shows the state of one process. */
 package dev.bronzeshore.ctl
 
 import arrow.core.Either
@@ -12,6 +12,6 @@
 
     override suspend fun run(context: CtlContext): Either<CtlFailure, Unit> = either {
         val status = client(context).bind().status().bind()
-        show(context, ProcessStatus.serializer(), status) { Render.status(it, context.clock()) }
+        show(context, ProcessStatus.serializer(), status) { TextRenderer.status(it, context.clock()) }
     }
 }
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/Table.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/Table.kt
@@ -1,8 +1,8 @@
-/** Aligned columns of text. */
+/** Text tables with aligned columns. */
 package dev.bronzeshore.ctl
 
 internal object Table {
-    /** The header and the rows, each column as wide as its widest cell. */
+    /** Formats the header and the rows; each column is as wide as its widest cell. */
     fun lines(header: List<String>, rows: List<List<String>>): List<String> {
         val all = listOf(header) + rows
         val widths = header.indices.map { column -> all.maxOf { it[column].length } }
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/Render.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/TextRenderer.kt
@@ -1,4 +1,4 @@
-/** Answers as lines of text. */
+/** Formats responses as lines of text. */
 package dev.bronzeshore.ctl
 
 import dev.bronzeshore.core.ApplyAnswer
@@ -11,8 +11,8 @@
 import dev.bronzeshore.core.VmStatus
 import java.time.Instant
 
-/** Text output; its form may change, scripts use `--json`. */
-internal object Render {
+/** Output for people; its format may change, scripts use `--json`. */
+internal object TextRenderer {
     fun applied(answer: ApplyAnswer, dryRun: Boolean): String = when {
         answer.applied -> "applied: version ${answer.version} is in force"
         dryRun -> "dry run: nothing was changed, version ${answer.version} stays in force"
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/TraceCommand.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/TraceCommand.kt
@@ -1,4 +1,4 @@
-/** `trace`: the way of a job through the logs, offline. */
+/** `trace`: shows what log files say about a job, offline. */
 package dev.bronzeshore.ctl
 
 import arrow.core.Either
@@ -9,7 +9,7 @@
 import java.nio.file.Path
 
 internal class TraceCommand : Command() {
-    @field:Argument(index = 0, metaVar = "JOB", required = true, usage = JobGroup.ID_USAGE)
+    @field:Argument(index = 0, metaVar = "JOB", required = true, usage = JobGroup.JOB_ID_USAGE)
     private var job: String = ""
 
     @field:Argument(
@@ -32,11 +32,11 @@
             files.map { it to readText(Path.of(it)).bind() }
         }
         val lines = texts.flatMap { (file, text) -> text.lineSequence().mapNotNull { LogLine.parse(it, file) } }
-        val trace = RequestTrace(lines.sortedBy { it.atMs }, job)
-        val first = trace.own.firstOrNull() ?: raise(
+        val trace = JobTrace(lines.sortedBy { it.atMs }, job)
+        val first = trace.jobLines.firstOrNull() ?: raise(
             CtlFailure.refused(listOf(Fault(ResultCode.UNKNOWN_JOB, "No line of these logs names job $job."))),
         )
-        val rows = trace.own.map { line ->
+        val rows = trace.jobLines.map { line ->
             val fields = line.fields.entries.joinToString(" ") { "${it.key}=${it.value}" }
             listOf("${line.atMs - first.atMs}", line.source, line.event, fields)
         }
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/VmGone.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/VmGone.kt
@@ -1,4 +1,4 @@
-/** `vm gone`: states that VMs do not run any more. */
+/** `vm gone`: marks VMs as gone. */
 package dev.bronzeshore.ctl
 
 import dev.bronzeshore.core.VmMark
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/VmGroup.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/VmGroup.kt
@@ -1,4 +1,4 @@
-/** `vm`: marks on VMs and the VMs as the server sees them. */
+/** `vm`: commands that mark and list VMs. */
 package dev.bronzeshore.ctl
 
 import org.kohsuke.args4j.Argument
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/VmList.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/VmList.kt
@@ -1,4 +1,4 @@
-/** `vm list`: the VMs as the server sees them. */
+/** `vm list`: lists the VMs as the server sees them. */
 package dev.bronzeshore.ctl
 
 import arrow.core.Either
@@ -12,6 +12,6 @@
 
     override suspend fun run(context: CtlContext): Either<CtlFailure, Unit> = either {
         val vms = client(context).bind().vms().bind()
-        show(context, ListSerializer(VmStatus.serializer()), vms, Render::vms)
+        show(context, ListSerializer(VmStatus.serializer()), vms, TextRenderer::vms)
     }
 }
--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/WhyCommand.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/WhyCommand.kt
@@ -1,4 +1,4 @@
-/** `why`: the reason for the state of a job. */
+/** `why`: explains the state of a job. */
 package dev.bronzeshore.ctl
 
 import arrow.core.Either
@@ -7,7 +7,7 @@
 import org.kohsuke.args4j.Argument
 
 internal class WhyCommand : ServerCommand() {
-    @field:Argument(metaVar = "JOB", required = true, usage = JobGroup.ID_USAGE)
+    @field:Argument(metaVar = "JOB", required = true, usage = JobGroup.JOB_ID_USAGE)
     private var job: String = ""
 
     override val synopsis: String = "why JOB"
--- a/ctl/src/test/kotlin/dev/bronzeshore/ctl/CtlTest.kt
+++ b/ctl/src/test/kotlin/dev/bronzeshore/ctl/CtlTest.kt
@@ -22,7 +22,7 @@
 import java.nio.file.Path
 import kotlin.io.path.writeText
 
-/** Guards against wrong exit codes, lost faults, and calls that differ from the operator API. */
+/** Guards against wrong exit codes, faults that are not reported, and requests that do not match the operator API. */
 class CtlTest {
     @TempDir
     lateinit var directory: Path
@@ -30,29 +30,29 @@
     private val calls = mutableListOf<HttpRequest>()
     private val out = mutableListOf<String>()
     private val errors = mutableListOf<String>()
-    private var answer: (HttpRequest) -> HttpResult = { error("no call expected: $it") }
+    private var respond: (HttpRequest) -> HttpResult = { error("no call expected: $it") }
     private val environment = mutableMapOf<String, String>()
 
     private val ctl =
         Ctl(
             CtlContext(
                 environment = environment::get,
-                http = { request -> answer(request.also { calls += it }) },
+                http = { request -> respond(request.also { calls += it }) },
                 printOut = { out += it },
                 printError = { errors += it },
                 readInput = { JOB },
                 clock = { 86_400_000 },
-                newKey = { "new-key" },
+                newIdempotencyKey = { "new-key" },
                 userName = "ada",
             ),
         )
 
     @BeforeEach
-    fun prepare() {
+    fun setUp() {
         environment["BRONZESHORE_SERVER"] = "http://h:1/"
-        environment["BRONZESHORE_TOKEN_FILE"] = file("token", "secret\n")
-        file("plans.json", """{"plans": [{"name": "a", "tokenSha256": "${"0".repeat(64)}", "kinds": []}]}""")
-        file("allowances.json", """{"allowances": []} // none yet""")
+        environment["BRONZESHORE_TOKEN_FILE"] = writeFile("token", "secret\n")
+        writeFile("plans.json", """{"plans": [{"name": "a", "tokenSha256": "${"0".repeat(64)}", "kinds": []}]}""")
+        writeFile("allowances.json", """{"allowances": []} // none yet""")
     }
 
     internal data class Case(val line: String, val expected: ExitCode, val result: HttpResult?, val shown: String) {
@@ -60,9 +60,9 @@
     }
 
     @ParameterizedTest
-    @MethodSource("cases")
-    internal fun `exit codes`(case: Case) {
-        answer = { case.result ?: error("no call expected") }
+    @MethodSource("exitCodeCases")
+    internal fun `each outcome has its exit code and message`(case: Case) {
+        respond = { case.result ?: error("no call expected") }
         assertEquals(case.expected, run(case.line), errors.toString())
         assertTrue((out + errors).any { case.shown in it }, (out + errors).toString())
     }
@@ -82,8 +82,8 @@
     }
 
     @Test
-    fun `apply expects the version whose difference it showed`() {
-        answer = { request ->
+    fun `plans apply expects the version whose difference it showed, unless --expected-version is given`() {
+        respond = { request ->
             if (request.method == "GET") {
                 ok(WireJson.encodeToString(Configuration.serializer(), Configuration(7)))
             } else {
@@ -104,8 +104,8 @@
 
     @Test
     fun `faults of both files are reported with their lines and nothing is sent`() {
-        file("plans.json", "{\"plans\": [\n{\"name\": \"a\"}]}")
-        file("allowances.json", "{\"allowances\": [\n\n{\"plan\": \"a\", \"dataCentre\": \"d\", \"slots\": -1}]}")
+        writeFile("plans.json", "{\"plans\": [\n{\"name\": \"a\"}]}")
+        writeFile("allowances.json", "{\"allowances\": [\n\n{\"plan\": \"a\", \"dataCentre\": \"d\", \"slots\": -1}]}")
         assertEquals(ExitCode.REFUSED, run("plans apply $directory"))
         assertEquals(4, errors.count { it.startsWith("error ") }, errors.toString())
         assertTrue(errors.any { it.endsWith("plans.json:2 plans[0]") }, errors.toString())
@@ -113,11 +113,11 @@
     }
 
     @Test
-    fun `a mark that fails does not hide the marks set before`() {
-        answer = { request ->
+    fun `marks set before a failure are still printed`() {
+        respond = { request ->
             val body = WireJson.decodeFromString(MarkRequest.serializer(), request.body.orEmpty())
             assertEquals(MarkRequest(VmMark.GONE, "ada"), body)
-            if (request.url == "http://h:1/v1/vms/v%201/mark") ok("""{"version": 2, "applied": true}""") else DOWN
+            if (request.url == "http://h:1/v1/vms/v%201/mark") ok("""{"version": 2, "applied": true}""") else STORE_DOWN
         }
         assertEquals(ExitCode.REFUSED, runBlocking { ctl.run(listOf("vm", "gone", "v 1", "v2", "v3", "--json")) })
         assertEquals(2, calls.size)
@@ -125,8 +125,8 @@
     }
 
     @Test
-    fun `a job is sent with its key, and the key is shown before the call`() {
-        answer = {
+    fun `the idempotency key is printed before the job is sent with it`() {
+        respond = {
             assertEquals(listOf("idempotency key: new-key"), errors)
             HttpResult.NoAnswer("reset")
         }
@@ -137,9 +137,9 @@
     }
 
     @Test
-    fun `the audit is read to its end and the newest entries are kept`() {
+    fun `all pages of the audit are read and the newest entries are shown`() {
         val entries = (1L..5L).map { AuditEntry("ada", it, if (it == 4L) "vm mark" else "plans apply", it, "w$it") }
-        answer = { request ->
+        respond = { request ->
             val after = request.url.substringAfter("after=").substringBefore("&").substringAfterLast("%2F")
             val page = entries.filter { "%016d-w%d".format(it.atMs, it.atMs) > after }.take(2)
             ok(WireJson.encodeToString(ListSerializer(AuditEntry.serializer()), page))
@@ -157,9 +157,9 @@
     }
 
     @Test
-    fun `check finds out what a file holds and collects all faults`() {
+    fun `check detects the type of each file and reports the faults of all files`() {
         val allowance = """"limit": {"processorsMillicores": 1, "memoryBytes": 1}"""
-        val bad = file("x.json", """{"allowances": [{"plan": "zz", "dataCentre": "d", $allowance, "slot": 1}]}""")
+        val bad = writeFile("x.json", """{"allowances": [{"plan": "zz", "dataCentre": "d", $allowance, "slot": 1}]}""")
         assertEquals(ExitCode.OK, run("check $directory/plans.json $directory/allowances.json"))
         assertEquals(ExitCode.REFUSED, run("check $bad"))
         assertEquals(listOf("error 1008"), errors.filter { it.startsWith("error") }.map { it.take(10) })
@@ -167,38 +167,38 @@
         assertEquals(ExitCode.REFUSED, run("check $directory/plans.json $bad --json"))
         val faults = WireJson.decodeFromString(ListSerializer(Fault.serializer()), errors.single())
         assertEquals(setOf(ResultCode.UNKNOWN_PLAN, ResultCode.UNKNOWN_FIELD), faults.map { it.code }.toSet())
-        assertEquals(ExitCode.USAGE, run("check ${file("s.json", """{"port": 1}""")}"))
+        assertEquals(ExitCode.USAGE, run("check ${writeFile("s.json", """{"port": 1}""")}"))
     }
 
     private fun run(line: String): ExitCode = runBlocking { ctl.run(line.split(" ").filter { it.isNotEmpty() }) }
 
-    private fun file(name: String, text: String): String = directory.resolve(name).also {
+    private fun writeFile(name: String, text: String): String = directory.resolve(name).also {
         it.writeText(text)
     }.toString()
 
     internal companion object {
         private const val JOB = """{"kind": "roster", "size": {"processorsMillicores": 1, "memoryBytes": 1}} // job"""
-        private val DOWN = refused(ResultCode.STORE_UNAVAILABLE)
-        private val UNREADABLE = HttpResult.Answer(502, "<html>bad gateway</html>")
+        private val STORE_DOWN = refusal(ResultCode.STORE_UNAVAILABLE)
+        private val HTML_RESPONSE = HttpResult.Answer(502, "<html>bad gateway</html>")
 
         private fun ok(body: String) = HttpResult.Answer(200, body)
 
-        private fun refused(code: ResultCode) =
+        private fun refusal(code: ResultCode) =
             HttpResult.Answer(code.httpStatus, WireJson.encodeToString(Fault.serializer(), Fault(code, "no")))
 
         @JvmStatic
-        fun cases() = listOf(
+        fun exitCodeCases() = listOf(
             Case("status", ExitCode.UNREACHABLE, HttpResult.NotSent("refused"), "refused"),
             Case("status", ExitCode.UNREACHABLE, HttpResult.NoAnswer("timeout"), "timeout"),
-            Case("status", ExitCode.UNREACHABLE, UNREADABLE, "bad gateway"),
-            Case("status", ExitCode.REFUSED, refused(ResultCode.UNAUTHORIZED), "error 4003 UNAUTHORIZED"),
-            Case("status", ExitCode.REFUSED, refused(ResultCode.INTERNAL), "5001"),
+            Case("status", ExitCode.UNREACHABLE, HTML_RESPONSE, "bad gateway"),
+            Case("status", ExitCode.REFUSED, refusal(ResultCode.UNAUTHORIZED), "error 4003 UNAUTHORIZED"),
+            Case("status", ExitCode.REFUSED, refusal(ResultCode.INTERNAL), "5001"),
             Case("job cancel j", ExitCode.UNREACHABLE, HttpResult.NotSent("refused"), "refused"),
             Case("job cancel j", ExitCode.UNKNOWN, HttpResult.NoAnswer("timeout"), "timeout"),
-            Case("job cancel j", ExitCode.UNKNOWN, UNREADABLE, "bad gateway"),
-            Case("job cancel j", ExitCode.UNKNOWN, refused(ResultCode.WRITE_UNKNOWN), "3002"),
-            Case("job cancel j", ExitCode.REFUSED, refused(ResultCode.UNKNOWN_JOB), "1010"),
-            Case("vm leave v", ExitCode.REFUSED, DOWN, "2007"),
+            Case("job cancel j", ExitCode.UNKNOWN, HTML_RESPONSE, "bad gateway"),
+            Case("job cancel j", ExitCode.UNKNOWN, refusal(ResultCode.WRITE_UNKNOWN), "3002"),
+            Case("job cancel j", ExitCode.REFUSED, refusal(ResultCode.UNKNOWN_JOB), "1010"),
+            Case("vm leave v", ExitCode.REFUSED, STORE_DOWN, "2007"),
             Case("vm leave v", ExitCode.OK, ok("""{"version": 2, "applied": false}"""), "in force already"),
             Case("why j", ExitCode.OK, ok("""{"jobId": "j", "reason": "the plan's share is in use"}"""), "share"),
             Case("vm list", ExitCode.OK, ok("[]"), "ACCEPTING"),
--- a/ctl/src/test/kotlin/dev/bronzeshore/ctl/KtorHttpCallTest.kt
+++ b/ctl/src/test/kotlin/dev/bronzeshore/ctl/KtorHttpCallTest.kt
@@ -10,12 +10,12 @@
 import java.net.ServerSocket
 import kotlin.concurrent.thread
 
-/** Guards against a call that was sent being reported as not sent, and against repeated calls. */
+/** Guards against sent requests that are reported as not sent, and against requests that are sent twice. */
 class KtorHttpCallTest {
     private val loopback = InetAddress.getLoopbackAddress()
 
     @Test
-    fun `an answer carries status, headers and body`() {
+    fun `status and body of the response are returned, headers and body of the request are sent`() {
         val server = HttpServer.create(InetSocketAddress(loopback, 0), 0)
         server.createContext("/") { exchange ->
             val text = exchange.requestHeaders.getFirst("Authorization") + exchange.requestBody.reader().readText()
@@ -33,14 +33,14 @@
     }
 
     @Test
-    fun `a refused connection was not sent`() {
+    fun `a refused connection is reported as a request that was not sent`() {
         val port = ServerSocket(0, 1, loopback).use { it.localPort }
         val result = runBlocking { ktorHttpCall(HttpRequest("GET", "http://127.0.0.1:$port/v1/status")) }
         assertInstanceOf(HttpResult.NotSent::class.java, result)
     }
 
     @Test
-    fun `a connection that breaks after the request is a missing answer and is not repeated`() {
+    fun `a connection that closes after the request is reported as no response and is not retried`() {
         var connections = 0
         ServerSocket(0, 5, loopback).use { socket ->
             val acceptor =
