--- a/ctl/src/main/kotlin/dev/bronzeshore/ctl/JobTrace.kt
+++ b/ctl/src/main/kotlin/dev/bronzeshore/ctl/JobTrace.kt
@@ -4,7 +4,7 @@
  */
 package dev.bronzeshore.ctl
 
-private const val REJECTED_PREFIX = "Rejected(reason="
+private const val REJECTED = "Rejected(reason="
 
 /** [lines] are the lines of all processes, ordered by time. */
 internal class JobTrace(private val lines: List<LogLine>, private val jobId: String) {
@@ -15,7 +15,7 @@
     fun causes(): List<String> {
         val end = jobLines.lastOrNull { it.event == "job_ended" }
         val refusals = jobLines.filter {
-            it.event == "submission" && it.fields["outcome"].orEmpty().startsWith(REJECTED_PREFIX)
+            it.event == "submission" && it.fields["outcome"].orEmpty().startsWith(REJECTED)
         }
         return refusals.map { describeRefusal(it) } + when {
             end == null -> listOf("These logs show no end of the job.").filter { refusals.isEmpty() }
@@ -25,17 +25,12 @@
         }
     }
 
-    private fun describeRefusal(submission: LogLine): String {
-        val reason =
-            submission.fields["outcome"].orEmpty().removePrefix(REJECTED_PREFIX).substringBefore(", retryAfterMs")
-        val storeEvent = lines.lastOrNull {
-            it.component == "store" && it.source == submission.source && it.atMs <= submission.atMs
-        }
-        val storeOutage = storeEvent?.takeIf { it.event == "lost" }
-            ?.let {
-                " The store had not served this process for ${submission.atMs - it.atMs} ms: ${it.fields["cause"]}."
-            }
-        return "Refused by ${submission.source}: $reason." + storeOutage.orEmpty()
+    private fun describeRefusal(line: LogLine): String {
+        val reason = line.fields["outcome"].orEmpty().removePrefix(REJECTED).substringBefore(", retryAfterMs")
+        val storeLine = lines.lastOrNull { it.component == "store" && it.source == line.source && it.atMs <= line.atMs }
+        val storeOutage = storeLine?.takeIf { it.event == "lost" }
+            ?.let { " The store had not served this process for ${line.atMs - it.atMs} ms: ${it.fields["cause"]}." }
+        return "Refused by ${line.source}: $reason." + storeOutage.orEmpty()
     }
 
     private fun describeFailure(end: LogLine): String {
@@ -56,11 +51,11 @@
         )
     }
 
-    private fun describeWait(jobKnown: LogLine, firstStart: LogLine): String {
-        val between = lines.filter { it.atMs in jobKnown.atMs..firstStart.atMs }
+    private fun describeWait(jobKnown: LogLine, start: LogLine): String {
+        val between = lines.filter { it.atMs in jobKnown.atMs..start.atMs }
         val advice = between.firstOrNull { it.event == "advice" && it.isAbout(jobId) }
         val recovery = between.lastOrNull { it.event == "recovery_complete" }
-        return "Its first start came ${firstStart.atMs - jobKnown.atMs} ms after it was known" +
+        return "Its first start came ${start.atMs - jobKnown.atMs} ms after it was known" +
             advice?.let { "; permission was given after ${it.atMs - jobKnown.atMs} ms" }.orEmpty() +
             recovery?.let { "; a takeover lasted until ${it.atMs - jobKnown.atMs} ms" }.orEmpty() + "."
     }
