--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/ConfigWatcherTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/ConfigWatcherTest.kt
@@ -22,7 +22,7 @@
 
         private fun watcher(number: Int): ConfigWatcher {
             val peers = { List(3) { NodeRow("n$it", "boot", "n$it:1") }.filter { it.processName != "n$number" } }
-            return ConfigWatcher(store.asSeenBy("n$number"), { scope.currentTime }, peers) { peer, version ->
+            return ConfigWatcher(store.clientFor("n$number"), { scope.currentTime }, peers) { peer, version ->
                 watchers[peer.processName.drop(1).toInt()].contentNewerThan(version)
             }
         }
@@ -44,7 +44,7 @@
         setup.write(1)
         setup.run()
         setup.awaitVersion(1, withinMs = DEFAULT_AWAIT_MS)
-        setup.store.faults.silentFeeds += "n0"
+        setup.store.faults.unresponsiveFeeds += "n0"
         awaitUntil { "silent feed" in setup.store.calls }
         setup.write(2)
         setup.awaitVersion(2, withinMs = APPLY_LIMIT_MS)
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/HeavyDayTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/HeavyDayTest.kt
@@ -24,10 +24,10 @@
         val simulation = SchedulerSimulation(this, seed = 1, workerCount = 4)
         simulation.lead()
         backgroundScope.launch { flood(simulation) }
-        awaitUntil { simulation.workers.judge.runningCount == 4 * SMALL_TASKS_PER_WORKER }
+        awaitUntil { simulation.workers.checker.runningCount == 4 * SMALL_TASKS_PER_WORKER }
         simulation.submit(GANG, step(replicas = 4, cores = 15, durationMs = 1_000, isGang = true), priority = 1)
         assertTrue(simulation.awaitPhase(GANG, JobPhase.COMPLETED, withinMs = 12_000))
-        assertEquals(emptyList<String>(), simulation.workers.judge.violations)
+        assertEquals(emptyList<String>(), simulation.workers.checker.violations)
     }
 
     /** Guards against urgent jobs that wait behind lower-priority jobs which arrived earlier. */
@@ -52,7 +52,7 @@
         val simulation = SchedulerSimulation(this, seed = 2, workerCount = 4)
         simulation.lead()
         submitBacklog(simulation)
-        awaitUntil { simulation.workers.judge.runningCount == 16 }
+        awaitUntil { simulation.workers.checker.runningCount == 16 }
         simulation.submit(URGENT, step(replicas = 2, cores = 4, durationMs = 500), priority = 0)
         assertTrue(simulation.awaitPhase(URGENT, JobPhase.COMPLETED, withinMs = 3_000))
     }
@@ -68,7 +68,7 @@
         simulation.workers.faults.failing += simulation.workers.ids
         simulation.submit(GANG, step(replicas = 1, cores = 1, durationMs = 1_000), attempts = 3)
         assertTrue(simulation.awaitPhase(GANG, JobPhase.FAILED, withinMs = 10_000))
-        assertEquals(3, simulation.workers.judge.starts)
+        assertEquals(3, simulation.workers.checker.starts)
         simulation.workers.faults.failing.clear()
         simulation.submit(URGENT, step(replicas = 2, cores = 4, durationMs = 500))
         assertTrue(simulation.awaitPhase(URGENT, JobPhase.COMPLETED, withinMs = 10_000))
@@ -80,7 +80,7 @@
         val simulation = SchedulerSimulation(this, seed = 5, workerCount = 3)
         simulation.lead()
         simulation.submit(GANG, step(replicas = 6, cores = 4, durationMs = 60_000))
-        awaitUntil { simulation.workers.judge.runningCount == 6 }
+        awaitUntil { simulation.workers.checker.runningCount == 6 }
         simulation.cancel(URGENT)
         simulation.cancel(GANG)
         assertTrue(simulation.awaitPhase(GANG, JobPhase.CANCELLED, withinMs = 3_000))
@@ -94,12 +94,12 @@
         val simulation = SchedulerSimulation(this, seed = 12, workerCount = 100)
         simulation.lead()
         backgroundScope.launch { flood(simulation, everyMs = 30, cores = 10) }
-        awaitUntil { simulation.workers.judge.runningCount == 100 }
+        awaitUntil { simulation.workers.checker.runningCount == 100 }
         simulation.adviceTerms = AdviceTerms(decisionMs = 700.0, perWorkerMs = 10.0, validityMs = 1_500)
         simulation.submit(GANG, step(replicas = 24, cores = 4, durationMs = 500, isGang = true), priority = 1)
         simulation.adviceTerms = null
         assertTrue(simulation.awaitPhase(GANG, JobPhase.COMPLETED, withinMs = 6_000))
-        assertEquals(emptyList<String>(), simulation.workers.judge.violations)
+        assertEquals(emptyList<String>(), simulation.workers.checker.violations)
     }
 
     private suspend fun flood(simulation: SchedulerSimulation, everyMs: Long = 120, cores: Int = 3) {
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/LeaderClientTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/LeaderClientTest.kt
@@ -41,7 +41,7 @@
         private val leaderRow = NodeRow("leader", "boot-1", "")
 
         fun election(row: NodeRow) = LeaderElection(
-            store.asSeenBy(row.processName),
+            store.clientFor(row.processName),
             row,
             MonotonicClock,
             { 0 },
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/LeaderElectionTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/LeaderElectionTest.kt
@@ -46,7 +46,7 @@
                 onLost = {},
                 onRenewalFailed = { storeLost++ },
             )
-            val election = LeaderElection(store.asSeenBy(name), row, { scope.currentTime }, { 0 }, events)
+            val election = LeaderElection(store.clientFor(name), row, { scope.currentTime }, { 0 }, events)
             return Candidate(name, election, scope.backgroundScope.launch { election.run() })
         }
     }
@@ -71,13 +71,13 @@
             delay(random.nextLong(500, 4_000))
             when (random.nextInt(4)) {
                 0 -> candidates.leader()?.job?.cancel()
-                1 -> cluster.store.faults.lostAnswers = random.nextDouble(0.5)
+                1 -> cluster.store.faults.lostResponseShare = random.nextDouble(0.5)
                 2 -> cluster.store.faults.isDown = !cluster.store.faults.isDown
                 else -> candidates += cluster.boot("n${candidates.size}")
             }
         }
         cluster.store.faults.isDown = false
-        cluster.store.faults.lostAnswers = 0.0
+        cluster.store.faults.lostResponseShare = 0.0
         candidates.awaitLeader()
         assertEquals(cluster.gained.distinct(), cluster.gained)
     }
@@ -115,11 +115,11 @@
     @Test
     fun `a process whose takeover got no response leads once it reads its own row`() = runTest {
         val cluster = Cluster(this, 3)
-        cluster.store.faults.lostAnswers = 1.0
-        cluster.store.faults.lateByMs = 900
+        cluster.store.faults.lostResponseShare = 1.0
+        cluster.store.faults.lostWriteDelayMs = 900
         val candidate = cluster.boot("n0")
         delay(1_000)
-        cluster.store.faults.lostAnswers = 0.0
+        cluster.store.faults.lostResponseShare = 0.0
         assertEquals(candidate, listOf(candidate).awaitLeader(withinMs = 1_500))
     }
 
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/SchedulerSimulation.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/SchedulerSimulation.kt
@@ -113,7 +113,7 @@
         store.put(Tables.TERM_ROW, term.toString().toByteArray())
         val version = termVersion()
         val dependencies = LeaderDependencies(
-            store = store.asSeenBy("leader-$term"),
+            store = store.clientFor("leader-$term"),
             calls = workers.calls(pollDelayMs),
             bounds = boundsForTests(),
             clock = ::nowMs,
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/SchedulerSimulationTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/SchedulerSimulationTest.kt
@@ -27,13 +27,13 @@
         val simulation = SchedulerSimulation(this, seed)
         simulation.lead()
         submitUnderFaults(simulation, scenario)
-        simulation.workers.faults.appliedLate = 0.0
-        simulation.workers.faults.cutOff.clear()
+        simulation.workers.faults.delayedRequestShare = 0.0
+        simulation.workers.faults.unreachable.clear()
         simulation.workers.faults.stalled.clear()
         simulation.store.faults.isDown = false
-        simulation.store.faults.lostAnswers = 0.0
+        simulation.store.faults.lostResponseShare = 0.0
         delay(RECOVERY_MS)
-        assertEquals(emptyList<String>(), simulation.workers.judge.violations)
+        assertEquals(emptyList<String>(), simulation.workers.checker.violations)
         val unfinished = simulation.jobIds.associateWith { simulation.phaseOf(it) }
             .filterValues { it != JobPhase.COMPLETED && it != JobPhase.CANCELLED }
         assertEquals(emptyMap<String, JobPhase?>(), unfinished)
@@ -74,18 +74,18 @@
                 workers.boot(id)
             },
             FaultScenario("workers that are partitioned and keep running") {
-                workers.faults.cutOff += workers.ids.random(random)
+                workers.faults.unreachable += workers.ids.random(random)
                 delay(random.nextLong(500, 9_000))
-                workers.faults.cutOff.clear()
+                workers.faults.unreachable.clear()
             },
-            FaultScenario("requests that workers apply late") { workers.faults.appliedLate = 0.1 },
+            FaultScenario("requests that workers apply late") { workers.faults.delayedRequestShare = 0.1 },
             FaultScenario("a leader that crashes while a worker is partitioned") {
-                workers.faults.cutOff += workers.ids.random(random)
+                workers.faults.unreachable += workers.ids.random(random)
                 delay(random.nextLong(0, 2_000))
                 stopLeader()
                 lead()
                 delay(random.nextLong(500, 9_000))
-                workers.faults.cutOff.clear()
+                workers.faults.unreachable.clear()
             },
             FaultScenario("store outages") {
                 store.faults.isDown = true
@@ -96,9 +96,9 @@
                 stopLeader()
                 lead()
                 delay(random.nextLong(100, 1_000))
-                store.faults.historyFrom = store.newestVersion
+                store.faults.oldestHistoryVersion = store.newestVersion
             },
-            FaultScenario("lost store responses") { store.faults.lostAnswers = 0.3 },
+            FaultScenario("lost store responses") { store.faults.lostResponseShare = 0.3 },
             FaultScenario("workers that stall") {
                 workers.faults.stalled += workers.ids.random(random)
                 delay(random.nextLong(500, 6_000))
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/StoreHealthTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/StoreHealthTest.kt
@@ -22,7 +22,7 @@
     fun `the store is unavailable after repeated refusals without a recent success`() = runTest {
         val store = StoreStandIn(Random(1), backgroundScope)
         val health = StoreHealth { currentTime }
-        val monitored = health.monitor(store.asSeenBy("node"))
+        val monitored = health.monitor(store.clientFor("node"))
         monitored.readPage(query)
         store.faults.refusedCallers += "node"
         monitored.readPage(query)
@@ -41,10 +41,10 @@
     fun `a slow store is available`() = runTest {
         val store = StoreStandIn(Random(1), backgroundScope)
         val health = StoreHealth { currentTime }
-        val monitored = health.monitor(store.asSeenBy("node"))
+        val monitored = health.monitor(store.clientFor("node"))
         store.faults.latencyMs = 400
         repeat(6) { monitored.transact(StoreTransaction()) }
-        store.faults.lostAnswers = 1.0
+        store.faults.lostResponseShare = 1.0
         repeat(1) { monitored.transact(StoreTransaction()) }
         assertEquals(true, health.isAvailable)
     }
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/StoreJobOperationsTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/StoreJobOperationsTest.kt
@@ -34,7 +34,7 @@
     private class Setup(scope: TestScope, isServed: Boolean = true) {
         val store = StoreStandIn(Random(1), scope.backgroundScope)
         val jobs: JobOperations =
-            createStoreJobOperations(store.asSeenBy("node"), { scope.currentTime }, { isServed }, scope.backgroundScope)
+            createStoreJobOperations(store.clientFor("node"), { scope.currentTime }, { isServed }, scope.backgroundScope)
     }
 
     private fun job(number: Int): AcceptedJob {
@@ -56,8 +56,8 @@
     @Test
     fun `a submission whose store call got no response is never rejected`() = runTest {
         val setup = Setup(this)
-        setup.store.faults.lostAnswers = 1.0
-        setup.store.faults.lateByMs = 2_000
+        setup.store.faults.lostResponseShare = 1.0
+        setup.store.faults.lostWriteDelayMs = 2_000
         assertInstanceOf(SubmitAnswer.Unknown::class.java, setup.jobs.submit(job(1)))
     }
 
@@ -65,10 +65,10 @@
     @Test
     fun `a second attempt resolves a lost response`() = runTest {
         val setup = Setup(this)
-        setup.store.faults.lostAnswers = 1.0
+        setup.store.faults.lostResponseShare = 1.0
         val answer = async { setup.jobs.submit(job(1)) }
         delay(300)
-        setup.store.faults.lostAnswers = 0.0
+        setup.store.faults.lostResponseShare = 0.0
         assertEquals(SubmitAnswer.Accepted, answer.await())
     }
 
--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/TakeoverTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/TakeoverTest.kt
@@ -25,16 +25,16 @@
         simulation.lead()
         simulation.workers.faults.failing += simulation.workers.ids
         simulation.submit(JOB, step(replicas = 1, cores = 1, durationMs = 1_000), attempts = 3)
-        awaitUntil { simulation.workers.judge.starts == 1 }
+        awaitUntil { simulation.workers.checker.starts == 1 }
         // No end can be acknowledged while the store is down, so the next leader learns of all failures at once.
         simulation.store.faults.isDown = true
-        awaitUntil { simulation.workers.judge.starts == 3 && simulation.workers.judge.runningCount == 0 }
+        awaitUntil { simulation.workers.checker.starts == 3 && simulation.workers.checker.runningCount == 0 }
         simulation.stopLeader()
         simulation.store.faults.isDown = false
         // The attempts ran on w0, w1 and w2, so the next leader learns of the newest failure first.
         simulation.lead(pollDelayMs = { id -> if (id == "w2") 0 else 300 - 100L * id.drop(1).toLong() })
         assertTrue(simulation.awaitPhase(JOB, JobPhase.FAILED, withinMs = 10_000))
-        assertEquals(3, simulation.workers.judge.starts)
+        assertEquals(3, simulation.workers.checker.starts)
     }
 
     /** Guards against a takeover after which all older jobs wait for an unreachable worker whose jobs are known. */
@@ -44,7 +44,7 @@
         simulation.lead()
         simulation.awaitRoster()
         val rosterVersion = simulation.rosterVersion()
-        simulation.workers.faults.cutOff += "w0"
+        simulation.workers.faults.unreachable += "w0"
         awaitUntil { simulation.rosterVersion() != rosterVersion }
         simulation.submit(JOB, step(replicas = 1, cores = 1, durationMs = 300))
         simulation.stopLeader()
@@ -61,7 +61,7 @@
         simulation.lead(pollDelayMs = { if (it == "w0") 800 else 0 })
         simulation.submit(JOB, step(replicas = 12, cores = 4, durationMs = 1_500))
         assertTrue(simulation.awaitPhase(JOB, JobPhase.COMPLETED, withinMs = 12_000))
-        assertEquals(emptyList<String>(), simulation.workers.judge.violations)
+        assertEquals(emptyList<String>(), simulation.workers.checker.violations)
     }
 
     data class EarlyRun(val name: String, val durationMs: Long, val pollDelayMs: Long) {
@@ -79,7 +79,7 @@
         val simulation = SchedulerSimulation(this, seed = 8, workerCount = 4)
         simulation.lead()
         simulation.awaitRoster()
-        simulation.store.faults.lateFeedsMs["leader-2"] = 900
+        simulation.store.faults.feedDelayMs["leader-2"] = 900
         var hasPolledWorkers = false
         simulation.lead(
             pollDelayMs = {
@@ -90,8 +90,8 @@
         awaitUntil { hasPolledWorkers }
         simulation.submit(JOB, step(replicas = 6, cores = 4, durationMs = case.durationMs))
         assertTrue(simulation.awaitPhase(JOB, JobPhase.COMPLETED, withinMs = 12_000))
-        assertEquals(emptyList<String>(), simulation.workers.judge.violations)
-        assertEquals(6, simulation.workers.judge.starts)
+        assertEquals(emptyList<String>(), simulation.workers.checker.violations)
+        assertEquals(6, simulation.workers.checker.starts)
     }
 
     /**
@@ -109,25 +109,25 @@
             },
         )
         simulation.awaitRoster()
-        simulation.store.faults.lostAnswers = 1.0
+        simulation.store.faults.lostResponseShare = 1.0
         val rosterVersion = simulation.rosterVersion()
-        simulation.workers.faults.cutOff += "w0"
+        simulation.workers.faults.unreachable += "w0"
         awaitUntil { simulation.rosterVersion() != rosterVersion }
-        simulation.workers.faults.cutOff.clear()
+        simulation.workers.faults.unreachable.clear()
         // Store responses are lost until the worker has answered a poll: only then does a second one from here begin.
         val pollsBefore = polls
         awaitUntil { polls == pollsBefore + 2 }
-        simulation.store.faults.lostAnswers = 0.0
+        simulation.store.faults.lostResponseShare = 0.0
         simulation.submit(JOB, step(replicas = 4, cores = 8, durationMs = 6_000))
-        awaitUntil { simulation.workers.judge.starts == 4 }
-        simulation.workers.faults.cutOff += "w0"
+        awaitUntil { simulation.workers.checker.starts == 4 }
+        simulation.workers.faults.unreachable += "w0"
         simulation.stopLeader()
         simulation.workers.boot("w2")
         simulation.lead()
         delay(OBSERVATION_MS)
-        simulation.workers.faults.cutOff.clear()
+        simulation.workers.faults.unreachable.clear()
         assertTrue(simulation.awaitPhase(JOB, JobPhase.COMPLETED, withinMs = 12_000))
-        assertEquals(emptyList<String>(), simulation.workers.judge.violations)
+        assertEquals(emptyList<String>(), simulation.workers.checker.violations)
     }
 
     /** Guards against tasks that run twice because a late write without a response overwrites newer progress. */
@@ -136,18 +136,18 @@
         val simulation = SchedulerSimulation(this, seed = 14, workerCount = 2)
         simulation.lead()
         simulation.submit(JOB, step(replicas = 2, cores = 4, durationMs = 300), step(1, 4, 500, after = listOf(0)))
-        awaitUntil { simulation.workers.judge.starts == 2 }
-        simulation.store.faults.lateByMs = 3_000
-        simulation.store.faults.lostAnswers = 1.0
-        awaitUntil { simulation.workers.judge.starts == 3 && "lost" in simulation.store.calls }
-        simulation.store.faults.lostAnswers = 0.0
+        awaitUntil { simulation.workers.checker.starts == 2 }
+        simulation.store.faults.lostWriteDelayMs = 3_000
+        simulation.store.faults.lostResponseShare = 1.0
+        awaitUntil { simulation.workers.checker.starts == 3 && "lost" in simulation.store.calls }
+        simulation.store.faults.lostResponseShare = 0.0
         awaitUntil { simulation.phaseOf(JOB) == JobPhase.COMPLETED }
-        delay(2 * simulation.store.faults.lateByMs)
+        delay(2 * simulation.store.faults.lostWriteDelayMs)
         assertEquals(JobPhase.COMPLETED, simulation.phaseOf(JOB))
         simulation.stopLeader()
         simulation.lead()
         delay(OBSERVATION_MS)
-        assertEquals(emptyList<String>(), simulation.workers.judge.violations)
+        assertEquals(emptyList<String>(), simulation.workers.checker.violations)
     }
 
     /** Guards against tasks that wait forever for a permanently lost worker, without a takeover. */
@@ -156,10 +156,10 @@
         val simulation = SchedulerSimulation(this, seed = 13, workerCount = 2)
         simulation.lead()
         simulation.submit(JOB, step(replicas = 4, cores = 8, durationMs = 2_000))
-        awaitUntil { simulation.workers.judge.starts == 4 }
+        awaitUntil { simulation.workers.checker.starts == 4 }
         simulation.workers.crash("w0")
         assertTrue(simulation.awaitPhase(JOB, JobPhase.COMPLETED, withinMs = 2 * MAX_LEASE_MS))
-        assertEquals(emptyList<String>(), simulation.workers.judge.violations)
+        assertEquals(emptyList<String>(), simulation.workers.checker.violations)
     }
 
     /** Guards against takeovers that read all jobs including ended ones, and against an ended job that starts again. */
@@ -175,7 +175,7 @@
         simulation.submit(JOB, step(replicas = 2, cores = 4, durationMs = 300))
         delay(OBSERVATION_MS)
         assertEquals(JobPhase.COMPLETED, simulation.phaseOf(JOB))
-        assertEquals(2, simulation.workers.judge.starts)
+        assertEquals(2, simulation.workers.checker.starts)
     }
 
     private fun SchedulerSimulation.rosterVersion() = store.rowsOf(Tables.LEADER_STATE).first {
--- a/server/src/test/kotlin/dev/bronzeshore/server/processes/StreamingProcessTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/processes/StreamingProcessTest.kt
@@ -1,7 +1,7 @@
 /** Complete responses for bodies of all sizes, with real processes and small heaps. */
 package dev.bronzeshore.server.processes
 
-import dev.bronzeshore.standins.RecordJudge
+import dev.bronzeshore.standins.RecordInvariantChecker
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -70,8 +70,8 @@
         assertTrue(entry.child.isAlive, cluster::logs)
         assertTrue(entry.isReady(), cluster::logs)
         assertFalse(entry.child.printed().contains("OutOfMemoryError"), cluster::logs)
-        val judge = RecordJudge(isIdempotentRequest = { false })
-        assertEquals(emptyList<Any>(), judge.judge(cluster.records()), cluster::logs)
+        val checker = RecordInvariantChecker(isIdempotentRequest = { false })
+        assertEquals(emptyList<Any>(), checker.findViolations(cluster.records()), cluster::logs)
     }
 
     private fun inParallel(count: Int, block: (Int) -> List<String>): List<String> {
--- a/server/src/test/kotlin/dev/bronzeshore/server/processes/Violations.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/processes/Violations.kt
@@ -1,7 +1,7 @@
 /** Checks of the stand-ins' records together with the responses to callers. */
 package dev.bronzeshore.server.processes
 
-import dev.bronzeshore.standins.RecordJudge
+import dev.bronzeshore.standins.RecordInvariantChecker
 import dev.bronzeshore.standins.RequestEnding
 import dev.bronzeshore.standins.ServerRecords
 import dev.bronzeshore.standins.TaskRecord
@@ -10,11 +10,11 @@
 internal fun violationsOf(records: List<ServerRecords>, results: List<RequestResult>, jobs: JobBatch?): List<String> {
     val sentRequestIds = results.mapTo(HashSet()) { it.requestId }
     val nonIdempotentJobIds = jobs?.nonIdempotentJobIds.orEmpty()
-    val judge = RecordJudge(
+    val checker = RecordInvariantChecker(
         isIdempotentJob = { it !in nonIdempotentJobIds },
         isIdempotentRequest = { it !in sentRequestIds },
     )
-    val violations = judge.judge(records).map { "$it" }
+    val violations = checker.findViolations(records).map { "$it" }
     val executedIds = records.flatMap { it.requests }.filter { it.ending != RequestEnding.REFUSED_NO_SLOT }
         .mapNotNullTo(HashSet()) { it.requestId }
     val wronglyNotRun = results.filter { it.isReportedNotRun && it.requestId in executedIds }
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/RecordJudge.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/RecordInvariantChecker.kt
@@ -10,12 +10,12 @@
  *
  * [isIdempotentJob] and [isIdempotentRequest] tell from an id whether the work may run more than once.
  */
-public class RecordJudge(
+public class RecordInvariantChecker(
     private val isIdempotentJob: (jobId: String) -> Boolean = { true },
     private val isIdempotentRequest: (requestId: String) -> Boolean = { true },
 ) {
     /** Returns all violations, in the order of their kinds. */
-    public fun judge(records: List<ServerRecords>): List<Violation> {
+    public fun findViolations(records: List<ServerRecords>): List<Violation> {
         val tasks = records.flatMap { it.tasks }
         val requests = records.flatMap { it.requests }
         val found = records.mapNotNull { overCommit(it) } +
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/cluster/RunJudge.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/cluster/RunInvariantChecker.kt
@@ -8,9 +8,9 @@
 import dev.bronzeshore.core.cluster.TaskRun
 
 /** What a task needs and how long it takes, as the trial knows it. */
-public data class TaskModel(public val room: Resources, public val durationMs: Long)
+public data class TaskModel(public val demand: Resources, public val durationMs: Long)
 
-public class RunJudge {
+public class RunInvariantChecker {
     private val runningOn = HashMap<TaskName, MutableSet<Pair<TaskRun, String>>>()
     private val done = HashSet<TaskName>()
     private val acknowledgedDone = HashSet<TaskName>()
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/cluster/StoreFaults.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/cluster/StoreFaults.kt
@@ -9,20 +9,20 @@
     public val refusedCallers: MutableSet<String> = HashSet()
 
     /** Callers whose change feeds get no answer, as on a connection that has fallen silent. */
-    public val silentFeeds: MutableSet<String> = HashSet()
+    public val unresponsiveFeeds: MutableSet<String> = HashSet()
 
     /** Callers whose change feeds answer later by this time. */
-    public val lateFeedsMs: MutableMap<String, Long> = HashMap()
+    public val feedDelayMs: MutableMap<String, Long> = HashMap()
 
     /** Time that each call takes. */
     public var latencyMs: Long = 4
 
     /** Share of the transactions that take effect without an answer. */
-    public var lostAnswers: Double = 0.0
+    public var lostResponseShare: Double = 0.0
 
     /** Lost transactions take effect this much later, if their conditions still hold. */
-    public var lateByMs: Long = 0
+    public var lostWriteDelayMs: Long = 0
 
     /** Change feeds that start before this version are told that the history is gone. */
-    public var historyFrom: Long = 0
+    public var oldestHistoryVersion: Long = 0
 }
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/cluster/StoreStandIn.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/cluster/StoreStandIn.kt
@@ -36,7 +36,7 @@
     public val calls: MutableMap<String, Int> = HashMap()
 
     /** The store as the process [caller] reaches it. */
-    public fun asSeenBy(caller: String): ClusterStore = ClusterStore(
+    public fun clientFor(caller: String): ClusterStore = ClusterStore(
         transact = { transact(caller, it) },
         readPage = { readPage(caller, it) },
         changes = { table, after, waitMs -> changes(caller, table, after, waitMs) },
@@ -57,10 +57,10 @@
         calls.merge("transact", 1, Int::plus)
         delay(faults.latencyMs / 2)
         if (isRefused(caller)) return StoreOutcome.NotApplied("refused")
-        if (random.nextDouble() < faults.lostAnswers) {
+        if (random.nextDouble() < faults.lostResponseShare) {
             calls.merge("lost", 1, Int::plus)
             scope.launch {
-                delay(faults.lateByMs)
+                delay(faults.lostWriteDelayMs)
                 apply(transaction)
             }
             delay(GIVE_UP_MS)
@@ -110,7 +110,7 @@
         waitMs: Long,
     ): Either<ReadFailure, ChangePage> {
         calls.merge("changes", 1, Int::plus)
-        if (caller in faults.silentFeeds) {
+        if (caller in faults.unresponsiveFeeds) {
             calls.merge("silent feed", 1, Int::plus)
             delay(waitMs + SILENT_FEED_MS)
             return ReadFailure.Unavailable("no answer").left()
@@ -118,12 +118,12 @@
         var waitedMs = 0L
         while (true) {
             if (isRefused(caller)) return ReadFailure.Unavailable("refused").left()
-            if (afterVersion < faults.historyFrom) return ReadFailure.HistoryGone.left()
+            if (afterVersion < faults.oldestHistoryVersion) return ReadFailure.HistoryGone.left()
             val changed = historyOfTable[table].orEmpty().takeLastWhile { it.version > afterVersion }
             if (changed.isNotEmpty() || waitedMs >= waitMs) {
                 // Rows that are written while the answer is on its way belong to the next page.
                 val page = ChangePage(changed, version)
-                delay(faults.latencyMs + (faults.lateFeedsMs[caller] ?: 0))
+                delay(faults.latencyMs + (faults.feedDelayMs[caller] ?: 0))
                 return page.right()
             }
             delay(FEED_POLL_MS)
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/cluster/WorkerModel.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/cluster/WorkerModel.kt
@@ -20,7 +20,7 @@
     val entry: WorkerEntry,
     private val clock: () -> Long,
     private val faults: WorkerFaults,
-    private val judge: RunJudge,
+    private val checker: RunInvariantChecker,
 ) {
     private val startedAtMs = clock()
     private val running = LinkedHashMap<TaskName, RunningTaskModel>()
@@ -54,9 +54,9 @@
         if (refusal != null) return StartAnswer(refusal, now())
         leaseUntilMs = maxOf(leaseUntilMs, minOf(order.validUntilWorkerMs, now() + MAX_LEASE_MS))
         if (running[order.run.task]?.run == order.run) return StartAnswer(StartResult.STARTED, now())
-        judge.started(order.run, id)
-        running[order.run.task] = RunningTaskModel(order.run, task.room, now(), task.durationMs)
-        judge.checkRoom(id, running.values.map { it.room }, entry.capacity)
+        checker.started(order.run, id)
+        running[order.run.task] = RunningTaskModel(order.run, task.demand, now(), task.durationMs)
+        checker.checkRoom(id, running.values.map { it.room }, entry.capacity)
         return StartAnswer(StartResult.STARTED, now())
     }
 
@@ -94,12 +94,12 @@
 
     /** The life ends: what runs is gone without an end. */
     fun crash() {
-        running.values.forEach { judge.vanished(it.run, id) }
+        running.values.forEach { checker.vanished(it.run, id) }
         running.clear()
     }
 
     private fun acknowledge(number: Long) {
-        ends.filter { it.number in (acknowledged + 1)..number }.forEach { judge.acknowledged(it) }
+        ends.filter { it.number in (acknowledged + 1)..number }.forEach { checker.acknowledged(it) }
         ends.removeAll { it.number <= number }
         acknowledged = maxOf(acknowledged, number)
     }
@@ -108,7 +108,7 @@
         running.remove(model.run.task)
         highestEnded.merge(model.run.task, model.run.run, ::maxOf)
         ends += TaskEnd(++lastEnd, model.run, kind, null)
-        judge.ended(model.run, id, kind)
+        checker.ended(model.run, id, kind)
     }
 
     private companion object {
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/cluster/WorkersStandIn.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/cluster/WorkersStandIn.kt
@@ -34,7 +34,7 @@
     private val taskOf: (TaskName) -> TaskModel,
 ) {
     public val faults: WorkerFaults = WorkerFaults()
-    public val judge: RunJudge = RunJudge()
+    public val checker: RunInvariantChecker = RunInvariantChecker()
     private val workers = LinkedHashMap<String, WorkerModel>()
 
     /** The changes of the list of workers, as the store would show them. */
@@ -54,7 +54,7 @@
             emptySet(),
             null,
         )
-        workers[workerId] = WorkerModel(entry, clock, faults, judge)
+        workers[workerId] = WorkerModel(entry, clock, faults, checker)
         onChange(WorkerChange(workerId, entry))
     }
 
@@ -82,15 +82,15 @@
     )
 
     private fun reach(worker: WorkerEntry): WorkerModel? =
-        workers[worker.incarnation.workerId].takeIf { worker.incarnation.workerId !in faults.cutOff }
+        workers[worker.incarnation.workerId].takeIf { worker.incarnation.workerId !in faults.unreachable }
 
     private suspend fun start(worker: WorkerEntry, order: StartRequest): StartAnswer {
         delay(CALL_MS)
         val model = reach(worker) ?: return unanswered()
         val task = taskOf(order.run.task)
-        if (random.nextDouble() >= faults.appliedLate) return model.start(order, task)
+        if (random.nextDouble() >= faults.delayedRequestShare) return model.start(order, task)
         scope.launch {
-            delay(random.nextLong(EARLIEST_LATE_MS, faults.latestMs))
+            delay(random.nextLong(EARLIEST_LATE_MS, faults.maxRequestDelayMs))
             if (workers[worker.incarnation.workerId] === model) model.start(order, task)
         }
         return unanswered()
--- a/stand-ins/src/test/kotlin/dev/bronzeshore/standins/RecordJudgeTest.kt
+++ b/stand-ins/src/test/kotlin/dev/bronzeshore/standins/RecordInvariantCheckerTest.kt
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.TestFactory
 
 /** Guards against a judge that overlooks a violation or reports one where there is none. */
-class RecordJudgeTest {
+class RecordInvariantCheckerTest {
     private class Case(val name: String, val records: List<ServerRecords>, vararg val expected: ViolationKind)
 
     private val half = Resources(500, 500)
@@ -106,8 +106,8 @@
     @TestFactory
     fun `each violation is found once and a clean record has none`(): List<DynamicTest> = cases.map { case ->
         dynamicTest(case.name) {
-            val judge = RecordJudge({ it != "once" }, { it != "once" })
-            assertEquals(case.expected.toList(), judge.judge(case.records).map { it.kind })
+            val checker = RecordInvariantChecker({ it != "once" }, { it != "once" })
+            assertEquals(case.expected.toList(), checker.findViolations(case.records).map { it.kind })
         }
     }
 
