--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/ConfigWatcherTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/ConfigWatcherTest.kt
@@ -45,7 +45,7 @@
         setup.run()
         setup.awaitVersion(1, withinMs = DEFAULT_AWAIT_MS)
         setup.store.faults.unresponsiveFeeds += "n0"
-        awaitUntil { "silent feed" in setup.store.calls }
+        awaitUntil { "unresponsive feed" in setup.store.calls }
         setup.write(2)
         setup.awaitVersion(2, withinMs = APPLY_LIMIT_MS)
     }
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/Answer.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/Answer.kt
@@ -1,4 +1,4 @@
-/** What a stand-in answers to a call. */
+/** Response of a stand-in to a call. */
 package dev.bronzeshore.standins
 
 import dev.bronzeshore.core.Fault
@@ -8,13 +8,13 @@
 import kotlinx.serialization.encodeToString
 
 internal sealed interface Answer {
-    /** A complete answer that the host sends, unless a fault drops it. */
+    /** A complete response that the host sends, unless an injected fault drops it. */
     class Whole(val status: HttpStatusCode, val contentType: ContentType, val bytes: ByteArray) : Answer
 
-    /** The stand-in has sent its answer itself. */
+    /** The stand-in has sent its response itself. */
     data object Sent : Answer
 
-    /** The host closes the connection without an answer. */
+    /** The host closes the connection without a response. */
     data object ConnectionClosed : Answer
 
     companion object {
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/CallCounter.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/CallCounter.kt
@@ -1,9 +1,9 @@
-/** Counts the calls that reach one server. */
+/** Counts the calls to one server. */
 package dev.bronzeshore.standins
 
 import java.util.concurrent.atomic.LongAdder
 
-/** May be used from any thread. */
+/** Thread-safe. */
 internal class CallCounter {
     private val reads = LongAdder()
     private val writes = LongAdder()
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/EndpointCommand.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/EndpointCommand.kt
@@ -1,4 +1,4 @@
-/** Command `endpoint`: one endpoint, or several alike. */
+/** Command `endpoint`: one endpoint or several identical ones. */
 package dev.bronzeshore.standins
 
 import org.kohsuke.args4j.Option
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/EndpointStandIn.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/EndpointStandIn.kt
@@ -1,4 +1,4 @@
-/** An endpoint that echoes each request body while it arrives. */
+/** Endpoint that streams each request body back while it arrives. */
 package dev.bronzeshore.standins
 
 import dev.bronzeshore.core.ClockMs
@@ -22,24 +22,24 @@
 import io.ktor.utils.io.writeFully
 import kotlinx.coroutines.delay
 
-/** Header with the id of the endpoint that answered. */
+/** Response header with the id of the endpoint. */
 public const val ENDPOINT_HEADER: String = "Stand-In-Endpoint"
 
-/** Header that names a request; the answer repeats it. */
+/** Header with the id of a request; the response repeats it. */
 public const val REQUEST_HEADER: String = "Stand-In-Request"
 
-/** Header of an answer to a request that did not run because no slot was free. */
+/** Header of the response to a request that did not run because no slot was free. */
 public const val NOT_RUN_HEADER: String = "Stand-In-Not-Run"
 
 private const val BUFFER_BYTES = 64 * 1024
 
 internal class EndpointStandIn(private val plan: EndpointPlan, clock: ClockMs) : StandIn {
     override val id: String = plan.id
-    override val gate = FaultGate()
+    override val faultInjector = FaultInjector()
     override val calls = CallCounter()
     private val log = RequestLog(plan, clock)
 
-    override suspend fun answer(call: ApplicationCall, path: String): Answer {
+    override suspend fun handleCall(call: ApplicationCall, path: String): Answer {
         val requestId = call.request.header(REQUEST_HEADER)
         val index = log.begin(requestId, call.request.httpMethod.value, path)
         call.response.header(ENDPOINT_HEADER, id)
@@ -61,17 +61,17 @@
 
     private suspend fun run(call: ApplicationCall, index: Int): Answer {
         val body = call.receiveChannel()
-        if (gate.dropsAnswer()) {
+        if (faultInjector.shouldDropResponse()) {
             log.end(index, RequestEnding.ANSWER_DROPPED, body.discard())
             return Answer.ConnectionClosed
         }
-        if (gate.faults.failRequests) {
+        if (faultInjector.faults.failRequests) {
             log.end(index, RequestEnding.FAILED, body.discard())
             call.respondText("the endpoint failed\n", status = HttpStatusCode.InternalServerError)
             return Answer.Sent
         }
         if (call.request.httpMethod == HttpMethod.Head) {
-            // Without a body there is nothing to echo, and Ktor's writer would send the end mark of a chunked body.
+            // There is no body to echo, and Ktor's writer would send the final chunk of a chunked body.
             log.end(index, RequestEnding.ANSWERED, bodyBytes = 0)
             call.respond(HttpStatusCode.OK)
             return Answer.Sent
@@ -89,7 +89,7 @@
     /**
      * Copies [body] to [output] and calls [onEnd] before the last bytes are written.
      *
-     * A client that has the complete answer may send its next request at once and must then find the slot free.
+     * A client that has the complete response may send its next request immediately and must find the slot free.
      */
     private suspend fun echo(
         body: ByteReadChannel,
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/FaultGate.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/FaultInjector.kt
@@ -1,4 +1,4 @@
-/** Applies the faults of one server to its calls. */
+/** Applies the injected faults of one server to its calls. */
 package dev.bronzeshore.standins
 
 import kotlinx.coroutines.delay
@@ -6,8 +6,8 @@
 import kotlinx.coroutines.flow.first
 import kotlin.random.Random
 
-/** Holds the [Faults] in force; may be used from any thread. */
-internal class FaultGate {
+/** Holds the [Faults] in force. Thread-safe. */
+internal class FaultInjector {
     private val state = MutableStateFlow(Faults())
     private var writes = 0L
     private var random = Random(state.value.dropSeed)
@@ -15,7 +15,7 @@
     val faults: Faults
         get() = state.value
 
-    /** Replaces the faults and starts the count and the random sequence of dropped answers again. */
+    /** Replaces the faults and restarts the write count and the random sequence that select dropped responses. */
     @Synchronized
     fun replace(faults: Faults) {
         writes = 0
@@ -23,16 +23,16 @@
         state.value = faults
     }
 
-    /** Holds a call back as long as the faults say, and returns how the server treats it then. */
-    suspend fun enter(): DownMode {
+    /** Delays a call while the server is paused and by the injected delay, then returns how the server treats it. */
+    suspend fun delayCall(): DownMode {
         state.first { !it.paused }
         delay(faults.delayMs)
         return faults.down
     }
 
-    /** Counts a write that took effect and says whether its answer is dropped. */
+    /** Counts an applied write and returns whether its response is dropped. */
     @Synchronized
-    fun dropsAnswer(): Boolean {
+    fun shouldDropResponse(): Boolean {
         writes++
         val every = faults.dropAnswerEvery
         val isNth = every > 0 && writes % every == 0L
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/Faults.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/Faults.kt
@@ -1,4 +1,4 @@
-/** The faults that a stand-in can be told to show. */
+/** Faults that can be injected into a stand-in. */
 package dev.bronzeshore.standins
 
 import kotlinx.serialization.Serializable
@@ -7,24 +7,24 @@
 @Serializable
 public enum class DownMode { UP, CLOSE_CONNECTION, STATUS_503 }
 
-/** Faults of one server; the defaults are a server without faults. */
+/** Faults of one server; by default there are none. */
 @Serializable
 public data class Faults(
-    /** Time added before each call takes effect. */
+    /** Delay before each call takes effect. */
     public val delayMs: Long = 0,
     public val down: DownMode = DownMode.UP,
-    /** Holds calls back until the pause ends; they take effect then. */
+    /** Suspends calls until the pause ends; they take effect then. */
     public val paused: Boolean = false,
-    /** Drops the answer of every Nth write after the write took effect; 0 drops none. */
+    /** Drops the response to every Nth write after the write was applied; 0 drops none. */
     public val dropAnswerEvery: Int = 0,
-    /** Share of writes, from 0 to 1, whose answer is dropped after the write took effect. */
+    /** Fraction of the writes, from 0 to 1, whose response is dropped after the write was applied. */
     public val dropAnswerShare: Double = 0.0,
-    /** Seed of the choice that [dropAnswerShare] makes. */
+    /** Seed of the random selection by [dropAnswerShare]. */
     public val dropSeed: Long = 1,
-    /** Age of the VM list that is shown. */
+    /** Age of the VM list that is returned. */
     public val vmListLagMs: Long = 0,
-    /** Makes a worker end each task that starts from now on as failed at once. */
+    /** Makes a worker fail each newly started task immediately. */
     public val failTasks: Boolean = false,
-    /** Makes an endpoint run each request and answer it with status 500. */
+    /** Makes an endpoint run each request and respond with status 500. */
     public val failRequests: Boolean = false,
 )
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/HostedServer.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/HostedServer.kt
@@ -1,5 +1,5 @@
-/** A stand-in with the port it asks for. */
+/** A stand-in and the port on which it is to listen. */
 package dev.bronzeshore.standins
 
-/** [port] 0 lets the system choose. */
+/** With [port] 0, the operating system chooses the port. */
 internal class HostedServer(val standIn: StandIn, val port: Int)
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/Main.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/Main.kt
@@ -13,7 +13,7 @@
 import kotlin.io.path.writeText
 import kotlin.system.exitProcess
 
-/** Largest number of ports in one process. */
+/** Maximum number of ports in one process. */
 private const val MAX_PORTS = 2_000
 
 private class Options {
@@ -29,7 +29,7 @@
     lateinit var command: StandInCommand
 }
 
-/** Starts the servers, prints `ready` on standard output and runs until the process is ended. */
+/** Starts the servers, prints `ready` on standard output and runs until the process is terminated. */
 public fun main(arguments: Array<String>) {
     configureRuntime()
     val options = Options()
@@ -54,7 +54,7 @@
     command.addresses?.writeText(StrictJson.encodeToString(platform.addresses))
 }
 
-/** Keeps standard output free for `ready`, and gives each listening port the thread that Ktor's engine takes for it. */
+/** Reserves standard output for `ready` and allows one I/O thread per listening port, which Ktor's engine occupies. */
 private fun configureRuntime() {
     System.setProperty("tinylog.writer", "console")
     System.setProperty("tinylog.writer.stream", "err")
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/ObjectStandIn.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/ObjectStoreStandIn.kt
@@ -1,4 +1,4 @@
-/** Object store: whole objects by name. */
+/** HTTP server of the object store, which reads and writes complete objects by name. */
 package dev.bronzeshore.standins
 
 import io.ktor.http.ContentType
@@ -11,12 +11,12 @@
 
 private const val OBJECTS_PATH = "/objects/"
 
-internal class ObjectStandIn(override val id: String) : StandIn {
-    override val gate = FaultGate()
+internal class ObjectStoreStandIn(override val id: String) : StandIn {
+    override val faultInjector = FaultInjector()
     override val calls = CallCounter()
     private val objects = ConcurrentHashMap<String, ByteArray>()
 
-    override suspend fun answer(call: ApplicationCall, path: String): Answer {
+    override suspend fun handleCall(call: ApplicationCall, path: String): Answer {
         val name = path.removePrefix(OBJECTS_PATH)
         if (!path.startsWith(OBJECTS_PATH) || name.isEmpty()) return Answer.notFound
         return when (call.request.httpMethod) {
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/Platform.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/Platform.kt
@@ -1,4 +1,4 @@
-/** A running platform of stand-ins, for tests in the same process and for the command line. */
+/** A running platform made of stand-ins, for tests in the same process and for the command line. */
 package dev.bronzeshore.standins
 
 import dev.bronzeshore.core.ClockMs
@@ -19,11 +19,11 @@
  * Hosts the servers of a plan from its creation until [close].
  *
  * Each port occupies one thread of the I/O dispatcher. With more than about 50 ports, the system property
- * `kotlinx.coroutines.io.parallelism` has to be raised before the process first uses that dispatcher.
+ * `kotlinx.coroutines.io.parallelism` must be raised before the process first uses that dispatcher.
  */
 public class Platform(plan: PlatformPlan, clock: ClockMs) : AutoCloseable {
     private val table = plan.table?.let { HostedServer(TableStandIn("table"), it.port) }
-    private val objectStore = plan.objectStore?.let { HostedServer(ObjectStandIn("objects"), it.port) }
+    private val objectStore = plan.objectStore?.let { HostedServer(ObjectStoreStandIn("objects"), it.port) }
     private val vmList = plan.vmList?.let { HostedServer(VmListStandIn("vms", clock), it.port) }
     private val workerPlans = plan.workers.flatMap { it.expand() }
     private val workers = workerPlans.map { HostedServer(WorkerStandIn(it, clock), it.port) }
@@ -38,7 +38,7 @@
         host = StandInHost(servers)
     }
 
-    /** Where the servers listen. */
+    /** Listen addresses of the servers. */
     public val addresses: PlatformAddresses = PlatformAddresses(
         table?.let { addressOf(it) },
         objectStore?.let { addressOf(it) },
@@ -53,13 +53,13 @@
     /** Returns the records of all servers. */
     public fun records(): List<ServerRecords> = servers.map { it.standIn.records() }
 
-    /** Replaces the faults of the server with [id]; `table`, `objects` and `vms` are the ids of the first three. */
+    /** Replaces the faults of server [id]; table, object store and VM list have the ids `table`, `objects`, `vms`. */
     public fun setFaults(id: String, faults: Faults): Unit =
-        servers.first { it.standIn.id == id }.standIn.gate.replace(faults)
+        servers.first { it.standIn.id == id }.standIn.faultInjector.replace(faults)
 
     override fun close(): Unit = host.close()
 
-    private fun addressOf(server: HostedServer): String = "$LOOPBACK:${host.ports.getValue(server.standIn)}"
+    private fun addressOf(server: HostedServer): String = "$LOOPBACK_ADDRESS:${host.ports.getValue(server.standIn)}"
 
     private fun workerVm(plan: WorkerPlan, server: HostedServer): Vm =
         Vm(plan.id, VmRole.WORKER, plan.dataCentre, plan.rack, addressOf(server), capacity = plan.capacity)
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/PlatformCommand.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/PlatformCommand.kt
@@ -1,4 +1,4 @@
-/** Command `platform`: a whole small platform in one process. */
+/** Command `platform`: a small but complete platform in one process. */
 package dev.bronzeshore.standins
 
 import dev.bronzeshore.core.StrictJson
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/PlatformPlan.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/PlatformPlan.kt
@@ -1,39 +1,39 @@
-/** What a small platform consists of, as its JSON file says. */
+/** Servers of a small platform, as its JSON file describes them. */
 package dev.bronzeshore.standins
 
 import dev.bronzeshore.core.Resources
 import dev.bronzeshore.core.TaskStart
 import kotlinx.serialization.Serializable
 
-private val usePattern = Regex("""\buse=(\d+)%""")
+private val usagePattern = Regex("""\buse=(\d+)%""")
 private const val PERCENT = 100
 
-/** A server that needs no more than a port; port 0 lets the system choose. */
+/** A server that is configured by its port only; with port 0, the operating system chooses the port. */
 @Serializable
 public data class ServerPlan(public val port: Int = 0)
 
-/** A worker, or [count] alike workers with the ids `ID-1`, `ID-2` and so on, spread over racks. */
+/** A worker, or [count] identical workers with the ids `ID-1`, `ID-2` and so on, spread over racks. */
 @Serializable
 public data class WorkerPlan(
     public val id: String,
     public val dataCentre: String,
     public val rack: String,
     public val capacity: Resources,
-    /** Port of the first worker; those after it take the next ports. */
+    /** Port of the first worker; the others use the ports that follow. */
     public val port: Int = 0,
     public val count: Int = 1,
-    /** Workers in a rack; racks are named `RACK-1`, `RACK-2` and so on if [count] is above 1. */
+    /** Workers per rack; the racks are named `RACK-1`, `RACK-2` and so on if [count] is above 1. */
     public val perRack: Int = 8,
-    /** Age of the use that reports show: a task shows no use before this time has passed since its start. */
+    /** Age of the usage in reports: a task is reported without usage until this time has passed since its start. */
     public val usageLagMs: Long = 0,
-    /** Time that a task takes to follow an order to stop or to checkpoint. */
+    /** Time that a task needs to stop or to checkpoint. */
     public val stopMs: Long = 0,
-    /** Share of the processors and memory of its size that a task uses. */
+    /** Percentage of the processors and the memory of its size that a task uses. */
     public val usePercent: Int = PERCENT,
 ) {
-    /** What a task uses: its payload may name a share as in `use=150%`, which goes before [usePercent]. */
-    internal fun useOf(start: TaskStart): Resources {
-        val percent = usePattern.find(start.payload)?.groupValues?.get(1)?.toInt() ?: usePercent
+    /** Resources that a task uses. A percentage in its payload, such as `use=150%`, overrides [usePercent]. */
+    internal fun usageOf(start: TaskStart): Resources {
+        val percent = usagePattern.find(start.payload)?.groupValues?.get(1)?.toInt() ?: usePercent
         return start.size.copy(
             processorsMillicores = start.size.processorsMillicores * percent / PERCENT,
             memoryBytes = start.size.memoryBytes * percent / PERCENT,
@@ -54,7 +54,7 @@
     }
 }
 
-/** An endpoint, or [count] alike endpoints with the ids `ID-1`, `ID-2` and so on. */
+/** An endpoint, or [count] identical endpoints with the ids `ID-1`, `ID-2` and so on. */
 @Serializable
 public data class EndpointPlan(
     public val id: String,
@@ -62,10 +62,10 @@
     public val dataCentre: String,
     public val rack: String,
     public val slots: Int,
-    /** Port of the first endpoint; those after it take the next ports. */
+    /** Port of the first endpoint; the others use the ports that follow. */
     public val port: Int = 0,
     public val count: Int = 1,
-    /** Time that passes before a request is read and answered. */
+    /** Delay before a request is read and the response is sent. */
     public val serviceMs: Long = 0,
 ) {
     internal fun expand(): List<EndpointPlan> = if (count == 1) {
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/PortCommand.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/PortCommand.kt
@@ -18,7 +18,7 @@
     override fun plan(): PlatformPlan = PlatformPlan(objectStore = ServerPlan(port))
 }
 
-/** Command `vm-list`: the VM list, empty until other processes or control calls fill it. */
+/** Command `vm-list`: the VM list, empty until other processes or control calls add VMs. */
 internal class VmListCommand : PortCommand() {
     override fun plan(): PlatformPlan = PlatformPlan(vmList = ServerPlan(port))
 }
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/RecordInvariantChecker.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/RecordInvariantChecker.kt
@@ -1,62 +1,62 @@
-/** Finds violations of what must always hold in the records of the stand-ins. */
+/** Finds violations of invariants in the records of the stand-ins. */
 package dev.bronzeshore.standins
 
 import dev.bronzeshore.core.Resources
 
-private class RoomChange(val atMs: Long, val used: Resources, val given: Resources)
+private class UsageChange(val atMs: Long, val used: Resources, val allocated: Resources)
 
 /**
- * Judges records from any number of servers, whose clocks must agree.
+ * Checks the records of any number of servers, whose clocks must be synchronised.
  *
- * [isIdempotentJob] and [isIdempotentRequest] tell from an id whether the work may run more than once.
+ * [isIdempotentJob] and [isIdempotentRequest] return whether the job or request with an id may run more than once.
  */
 public class RecordInvariantChecker(
     private val isIdempotentJob: (jobId: String) -> Boolean = { true },
     private val isIdempotentRequest: (requestId: String) -> Boolean = { true },
 ) {
-    /** Returns all violations, in the order of their kinds. */
+    /** Returns all violations, sorted by kind. */
     public fun findViolations(records: List<ServerRecords>): List<Violation> {
         val tasks = records.flatMap { it.tasks }
         val requests = records.flatMap { it.requests }
-        val found = records.mapNotNull { overCommit(it) } +
-            startsWithoutRoom(tasks) +
+        val violations = records.mapNotNull { findOverCommit(it) } +
+            startsWithoutCapacity(tasks) +
             partViolations(tasks.filter { it.refusal == null }) +
             requestViolations(requests)
-        return found.sortedBy { it.kind }
+        return violations.sortedBy { it.kind }
     }
 
-    /** Finds the first moment at which a worker was over its capacity. */
-    private fun overCommit(worker: ServerRecords): Violation? {
-        val changes = worker.tasks.filter { it.refusal == null }.flatMap { changesOf(it) }
+    /** Finds the first time at which the usage of a worker exceeded its capacity. */
+    private fun findOverCommit(worker: ServerRecords): Violation? {
+        val changes = worker.tasks.filter { it.refusal == null }.flatMap { usageChangesOf(it) }
         var used = Resources.NONE
-        var given = Resources.NONE
-        // All changes of one millisecond count as one, because their order within it is not recorded.
+        var allocated = Resources.NONE
+        // All changes within one millisecond are applied together because their order is not recorded.
         for ((atMs, group) in changes.groupBy { it.atMs }.toSortedMap()) {
             group.forEach {
                 used += it.used
-                given += it.given
+                allocated += it.allocated
             }
             if (!used.fitsIn(worker.capacity)) {
-                val kind = if (given.fitsIn(worker.capacity)) ViolationKind.OVER_USE else ViolationKind.OVER_COMMIT
-                return Violation(kind, worker.id, atMs, "$used used, $given given, ${worker.capacity} held")
+                val kind = if (allocated.fitsIn(worker.capacity)) ViolationKind.OVER_USE else ViolationKind.OVER_COMMIT
+                return Violation(kind, worker.id, atMs, "$used used, $allocated allocated, capacity ${worker.capacity}")
             }
         }
         return null
     }
 
-    private fun changesOf(task: TaskRecord): List<RoomChange> {
-        val changes = mutableListOf<RoomChange>()
+    private fun usageChangesOf(task: TaskRecord): List<UsageChange> {
+        val changes = mutableListOf<UsageChange>()
         var used = Resources.NONE
         task.uses.forEach {
-            val given = if (changes.isEmpty()) task.size else Resources.NONE
-            changes += RoomChange(it.sinceMs, it.used - used, given)
+            val allocated = if (changes.isEmpty()) task.size else Resources.NONE
+            changes += UsageChange(it.sinceMs, it.used - used, allocated)
             used = it.used
         }
-        task.endedAtMs?.let { changes += RoomChange(it, Resources.NONE - used, Resources.NONE - task.size) }
+        task.endedAtMs?.let { changes += UsageChange(it, Resources.NONE - used, Resources.NONE - task.size) }
         return changes
     }
 
-    private fun startsWithoutRoom(tasks: List<TaskRecord>): List<Violation> = tasks
+    private fun startsWithoutCapacity(tasks: List<TaskRecord>): List<Violation> = tasks
         .filter { it.refusal == Refusal.NO_ROOM }
         .map { Violation(ViolationKind.START_WITHOUT_ROOM, it.workerId, it.startedAtMs, "${it.task}") }
 
@@ -64,23 +64,23 @@
         .groupBy { PartKey(it.task.jobId, it.task.part) }
         .flatMap { (part, attempts) ->
             val ordered = attempts.sortedWith(compareBy({ it.startedAtMs }, { it.endMs() }))
-            listOfNotNull(overlap(part, ordered), repeat(part, ordered))
+            listOfNotNull(findOverlap(part, ordered), findRepeat(part, ordered))
         }
 
-    private fun overlap(part: PartKey, ordered: List<TaskRecord>): Violation? {
-        var longest: TaskRecord? = null
+    private fun findOverlap(part: PartKey, ordered: List<TaskRecord>): Violation? {
+        var latestEnding: TaskRecord? = null
         for (task in ordered) {
-            val earlier = longest
+            val earlier = latestEnding
             if (earlier != null && task.startedAtMs < earlier.endMs()) {
                 val detail = "${earlier.task} on ${earlier.workerId} and ${task.task} on ${task.workerId}"
                 return Violation(ViolationKind.PART_TWICE_AT_ONCE, "$part", task.startedAtMs, detail)
             }
-            if (earlier == null || task.endMs() > earlier.endMs()) longest = task
+            if (earlier == null || task.endMs() > earlier.endMs()) latestEnding = task
         }
         return null
     }
 
-    private fun repeat(part: PartKey, ordered: List<TaskRecord>): Violation? {
+    private fun findRepeat(part: PartKey, ordered: List<TaskRecord>): Violation? {
         if (ordered.size < 2 || isIdempotentJob(part.jobId)) return null
         val where = ordered.map { "${it.task} on ${it.workerId}" }
         return Violation(ViolationKind.PART_REPEATED, "$part", ordered[1].startedAtMs, where.joinToString())
@@ -96,11 +96,11 @@
         val repeated = requests
             .filter { it.ending != RequestEnding.REFUSED_NO_SLOT }
             .groupBy { it.requestId }
-            .mapNotNull { (id, runs) -> if (id == null) null else repeat(id, runs.sortedBy { it.startedAtMs }) }
+            .mapNotNull { (id, runs) -> if (id == null) null else findRepeat(id, runs.sortedBy { it.startedAtMs }) }
         return refused + repeated
     }
 
-    private fun repeat(requestId: String, ordered: List<RequestRecord>): Violation? {
+    private fun findRepeat(requestId: String, ordered: List<RequestRecord>): Violation? {
         if (ordered.size < 2 || isIdempotentRequest(requestId)) return null
         val where = ordered.map { it.endpointId }
         return Violation(ViolationKind.REQUEST_REPEATED, requestId, ordered[1].startedAtMs, where.joinToString())
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/Records.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/Records.kt
@@ -1,4 +1,4 @@
-/** What the stand-ins record on their own, independent of what bronzeshore reports. */
+/** Records that the stand-ins keep themselves, independent of what bronzeshore reports. */
 package dev.bronzeshore.standins
 
 import dev.bronzeshore.core.Resources
@@ -9,14 +9,14 @@
 @Serializable
 public enum class ServerRole { TABLE, OBJECT_STORE, VM_LIST, WORKER, ENDPOINT }
 
-/** Calls that reached a server, including those that a fault answered; for the table, a write is a transaction. */
+/** Calls to a server, including those with an injected fault; for the table, a write is a transaction. */
 @Serializable
 public data class CallCounts(
     public val reads: Long = 0,
     public val writes: Long = 0,
     /** Transactions that were not applied because a condition did not hold. */
     public val conflicts: Long = 0,
-    /** Rows that applied transactions put or deleted. */
+    /** Rows put or deleted by applied transactions. */
     public val rowsWritten: Long = 0,
 )
 
@@ -24,7 +24,7 @@
 @Serializable
 public enum class Refusal { LATE, NO_ROOM }
 
-/** What a task uses from [sinceMs] on. */
+/** Resources that a task uses from [sinceMs] on. */
 @Serializable
 public data class UseSince(public val sinceMs: Long, public val used: Resources)
 
@@ -34,10 +34,10 @@
     public val task: TaskId,
     public val workerId: String,
     public val kind: String,
-    /** Size named by the start command. */
+    /** Size in the start command. */
     public val size: Resources,
     public val startedAtMs: Long,
-    /** What the task used, from its start on and after each change; empty if it was refused. */
+    /** Usage of the task from its start on and after each change; empty if it was refused. */
     public val uses: List<UseSince>,
     public val endedAtMs: Long? = null,
     public val ending: TaskState? = null,
@@ -70,9 +70,9 @@
     public val role: ServerRole,
     public val calls: CallCounts = CallCounts(),
     public val capacity: Resources = Resources.NONE,
-    /** Highest sum of what the tasks of a worker used at one time. */
+    /** Peak usage of all tasks of a worker together. */
     public val highestUse: Resources = Resources.NONE,
-    /** Highest sum of the sizes of a worker's tasks at one time. */
+    /** Peak sum of the sizes of all tasks running on a worker. */
     public val highestGiven: Resources = Resources.NONE,
     public val tasks: List<TaskRecord> = emptyList(),
     public val slots: Int = 0,
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/RequestLog.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/RequestLog.kt
@@ -1,15 +1,15 @@
-/** Slots of an endpoint and the record of its requests. */
+/** Slots of an endpoint and the records of its requests. */
 package dev.bronzeshore.standins
 
 import dev.bronzeshore.core.ClockMs
 
-/** May be used from any thread. */
+/** Thread-safe. */
 internal class RequestLog(private val plan: EndpointPlan, private val clock: ClockMs) {
     private val requests = mutableListOf<RequestRecord>()
     private var slotsInUse = 0
     private var highestSlotsInUse = 0
 
-    /** Records a request and takes a slot for it; returns its index, or null if no slot was free. */
+    /** Records a request and occupies a slot; returns the index of the request, or null if no slot was free. */
     @Synchronized
     fun begin(requestId: String?, method: String, path: String): Int? {
         val nowMs = clock()
@@ -24,7 +24,7 @@
         return requests.lastIndex
     }
 
-    /** Ends a request and frees its slot; only the first call for a request counts. */
+    /** Ends a request and releases its slot; only the first call for a request has an effect. */
     @Synchronized
     fun end(index: Int, ending: RequestEnding, bodyBytes: Long) {
         if (requests[index].ending != null) return
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/StandIn.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/StandIn.kt
@@ -1,20 +1,20 @@
-/** One server of the platform as the host sees it. */
+/** Interface between a stand-in and the host that serves its HTTP calls. */
 package dev.bronzeshore.standins
 
 import io.ktor.server.application.ApplicationCall
 
-/** A stand-in for one platform server; [answer] may be called from any thread. */
+/** A stand-in for one platform server; [handleCall] may be called from any thread. */
 internal interface StandIn {
     val id: String
-    val gate: FaultGate
+    val faultInjector: FaultInjector
     val calls: CallCounter
 
-    /** Answers a call of the platform protocol. */
-    suspend fun answer(call: ApplicationCall, path: String): Answer
+    /** Handles a call of the platform protocol. */
+    suspend fun handleCall(call: ApplicationCall, path: String): Answer
 
-    /** Answers a call below `/stand-in/` that only this kind of server knows. */
-    suspend fun control(call: ApplicationCall, path: String): Answer = Answer.notFound
+    /** Handles a call below `/stand-in/` that is specific to this kind of server. */
+    suspend fun handleControlCall(call: ApplicationCall, path: String): Answer = Answer.notFound
 
-    /** Returns what happened here since the start. */
+    /** Returns the records of this server since its start. */
     fun records(): ServerRecords
 }
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/StandInHost.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/StandInHost.kt
@@ -22,91 +22,91 @@
 import kotlinx.serialization.SerializationException
 import kotlinx.serialization.encodeToString
 
-internal const val LOOPBACK = "127.0.0.1"
+internal const val LOOPBACK_ADDRESS = "127.0.0.1"
 private const val CONTROL_PREFIX = "/stand-in/"
 
-/** Starts on creation; [close] stops all servers. */
+/** Starts the servers on creation; [close] stops them. */
 internal class StandInHost(servers: List<HostedServer>) : AutoCloseable {
     private val engine = embeddedServer(
         CIO,
-        serverConfig { module { intercept(ApplicationCallPipeline.Call) { serve(call) } } },
+        serverConfig { module { intercept(ApplicationCallPipeline.Call) { handle(call) } } },
     ) {
         servers.forEach { server ->
             connector {
-                host = LOOPBACK
+                host = LOOPBACK_ADDRESS
                 port = server.port
             }
         }
     }
 
-    /** Real port of each stand-in. */
+    /** Port on which each stand-in listens. */
     val ports: Map<StandIn, Int>
 
-    /** Stand-in by port, known once all ports listen; calls that arrive before wait for it. */
-    private val standIns = CompletableDeferred<Map<Int, StandIn>>()
+    /** Stand-ins by port, completed once all ports are open; calls that arrive earlier wait for it. */
+    private val standInsByPort = CompletableDeferred<Map<Int, StandIn>>()
 
     init {
         engine.start(wait = false)
-        val listening = runBlocking { engine.engine.resolvedConnectors() }.map { it.port }
-        val chosen = ArrayDeque(listening - servers.map { it.port }.toSet())
-        ports = servers.associate { it.standIn to if (it.port == 0) chosen.removeFirst() else it.port }
-        standIns.complete(ports.entries.associate { it.value to it.key })
+        val openPorts = runBlocking { engine.engine.resolvedConnectors() }.map { it.port }
+        val ephemeralPorts = ArrayDeque(openPorts - servers.map { it.port }.toSet())
+        ports = servers.associate { it.standIn to if (it.port == 0) ephemeralPorts.removeFirst() else it.port }
+        standInsByPort.complete(ports.entries.associate { it.value to it.key })
     }
 
-    override fun close() = engine.stop(gracePeriodMillis = 0, timeoutMillis = STOP_MS)
+    override fun close() = engine.stop(gracePeriodMillis = 0, timeoutMillis = STOP_TIMEOUT_MS)
 
-    private suspend fun serve(call: ApplicationCall) {
-        val standIn = standIns.await().getValue(call.request.local.localPort)
+    private suspend fun handle(call: ApplicationCall) {
+        val standIn = standInsByPort.await().getValue(call.request.local.localPort)
         val path = call.request.path()
         val isControl = path.startsWith(CONTROL_PREFIX)
-        val answer = try {
-            if (isControl) control(standIn, call, path) else answer(standIn, call, path)
+        val response = try {
+            if (isControl) handleControlCall(standIn, call, path) else handleCall(standIn, call, path)
         } catch (e: SerializationException) {
             Answer.text(HttpStatusCode.BadRequest, "malformed body: ${e.message}\n")
         }
-        when (answer) {
+        when (response) {
             Answer.Sent -> Unit
             Answer.ConnectionClosed -> closeConnection(call)
-            is Answer.Whole -> call.respondBytes(answer.bytes, answer.contentType, answer.status)
+            is Answer.Whole -> call.respondBytes(response.bytes, response.contentType, response.status)
         }
     }
 
-    private suspend fun answer(standIn: StandIn, call: ApplicationCall, path: String): Answer {
+    private suspend fun handleCall(standIn: StandIn, call: ApplicationCall, path: String): Answer {
         val isRead = call.request.httpMethod == HttpMethod.Get
         if (isRead) standIn.calls.countRead() else standIn.calls.countWrite()
-        return when (standIn.gate.enter()) {
+        return when (standIn.faultInjector.delayCall()) {
             DownMode.CLOSE_CONNECTION -> Answer.ConnectionClosed
 
             DownMode.STATUS_503 -> Answer.text(HttpStatusCode.ServiceUnavailable, "down\n")
 
             DownMode.UP -> {
-                val answer = standIn.answer(call, path)
-                val isDropped = answer is Answer.Whole && !isRead && standIn.gate.dropsAnswer()
-                if (isDropped) Answer.ConnectionClosed else answer
+                val response = standIn.handleCall(call, path)
+                val isDropped = response is Answer.Whole && !isRead && standIn.faultInjector.shouldDropResponse()
+                if (isDropped) Answer.ConnectionClosed else response
             }
         }
     }
 
-    private suspend fun control(standIn: StandIn, call: ApplicationCall, path: String): Answer {
+    private suspend fun handleControlCall(standIn: StandIn, call: ApplicationCall, path: String): Answer {
         val method = call.request.httpMethod
         return when (path) {
             "/stand-in/faults" -> {
                 if (method == HttpMethod.Post) {
-                    standIn.gate.replace(StrictJson.decodeFromString<Faults>(call.receiveText()))
+                    standIn.faultInjector.replace(StrictJson.decodeFromString<Faults>(call.receiveText()))
                 }
-                Answer.text(HttpStatusCode.OK, StrictJson.encodeToString(standIn.gate.faults))
+                Answer.text(HttpStatusCode.OK, StrictJson.encodeToString(standIn.faultInjector.faults))
             }
 
             "/stand-in/records" -> Answer.json(standIn.records())
 
-            else -> standIn.control(call, path)
+            else -> standIn.handleControlCall(call, path)
         }
     }
 
     /**
-     * Closes the connection of a call without an answer.
+     * Closes the connection of a call without sending a response.
      *
-     * Ktor has no function for this: ending the call alone leaves the connection open and the client waiting. The
+     * Ktor has no function for this: cancelling only the call leaves the connection open and the client waiting. The
      * job of a call is a child of its request's job, which is a child of the connection's job.
      */
     @OptIn(ExperimentalCoroutinesApi::class)
@@ -115,6 +115,6 @@
     }
 
     private companion object {
-        const val STOP_MS = 500L
+        const val STOP_TIMEOUT_MS = 500L
     }
 }
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/TableStandIn.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/TableStandIn.kt
@@ -1,4 +1,4 @@
-/** HTTP side of the table service. */
+/** HTTP server of the table service. */
 package dev.bronzeshore.standins
 
 import dev.bronzeshore.core.RowRange
@@ -12,11 +12,11 @@
 import io.ktor.server.request.receiveText
 
 internal class TableStandIn(override val id: String) : StandIn {
-    override val gate = FaultGate()
+    override val faultInjector = FaultInjector()
     override val calls = CallCounter()
     private val store = TableStore()
 
-    override suspend fun answer(call: ApplicationCall, path: String): Answer = when {
+    override suspend fun handleCall(call: ApplicationCall, path: String): Answer = when {
         call.request.httpMethod == HttpMethod.Get && path == "/rows" -> read(call)
         call.request.httpMethod == HttpMethod.Post && path == "/transactions" -> write(call)
         else -> Answer.notFound
@@ -31,9 +31,9 @@
             return store.read(key)?.let { Answer.json(it) } ?: Answer.notFound
         }
         val prefix = query["prefix"] ?: return Answer.text(HttpStatusCode.BadRequest, "key or prefix is required\n")
-        val whole = RowRange(prefix)
-        val limit = query["limit"]?.toIntOrNull() ?: whole.limit
-        return Answer.json(store.readRange(RowRange(prefix, query["after"] ?: whole.afterKey, limit)))
+        val defaults = RowRange(prefix)
+        val limit = query["limit"]?.toIntOrNull() ?: defaults.limit
+        return Answer.json(store.readRange(RowRange(prefix, query["after"] ?: defaults.afterKey, limit)))
     }
 
     private suspend fun write(call: ApplicationCall): Answer {
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/TableStore.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/TableStore.kt
@@ -12,7 +12,7 @@
 import dev.bronzeshore.core.WriteResult
 import java.util.TreeMap
 
-/** Keeps rows in memory; may be used from any thread. */
+/** Keeps rows in memory. Thread-safe. */
 internal class TableStore {
     private val rows = TreeMap<String, Row>()
 
@@ -29,17 +29,17 @@
         .take(range.limit.coerceAtLeast(0))
         .toList()
 
-    /** Applies a transaction completely or not at all; a key that is written twice is a fault. */
+    /** Applies a transaction atomically; a key that is written twice is a fault. */
     @Synchronized
     fun write(transaction: Transaction): Either<Fault, WriteResult> {
         val keys = transaction.puts.map { it.key } + transaction.deletes
-        val repeated = keys.groupingBy { it }.eachCount().filterValues { it > 1 }.keys.firstOrNull()
-        if (repeated != null) {
-            return Fault(ResultCode.DUPLICATE_KEY, "The transaction writes key '$repeated' twice.").left()
+        val duplicateKey = keys.groupingBy { it }.eachCount().filterValues { it > 1 }.keys.firstOrNull()
+        if (duplicateKey != null) {
+            return Fault(ResultCode.DUPLICATE_KEY, "The transaction writes key '$duplicateKey' twice.").left()
         }
-        val failed = transaction.conditions.firstOrNull { versionOf(it.key) != it.version }
-        if (failed != null) {
-            return WriteResult.Conflict(failed.key, versionOf(failed.key)).right()
+        val violated = transaction.conditions.firstOrNull { versionOf(it.key) != it.version }
+        if (violated != null) {
+            return WriteResult.Conflict(violated.key, versionOf(violated.key)).right()
         }
         transaction.puts.forEach {
             rows[it.key] = Row(it.key, versionOf(it.key) + 1, it.value, transaction.writeId)
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/Violation.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/Violation.kt
@@ -1,17 +1,17 @@
-/** What the judge of the records found. */
+/** Violations of invariants that [RecordInvariantChecker] finds. */
 package dev.bronzeshore.standins
 
 import kotlinx.serialization.Serializable
 
 @Serializable
 public enum class ViolationKind {
-    /** A worker's tasks used more than it holds, and their sizes were more than it holds, too. */
+    /** A worker's tasks used more than its capacity, and the sum of their sizes exceeded it, too. */
     OVER_COMMIT,
 
-    /** A worker's tasks used more than it holds although their sizes fit. */
+    /** A worker's tasks used more than its capacity although the sum of their sizes did not exceed it. */
     OVER_USE,
 
-    /** A worker was told to start a task for which it had no room; it refused. */
+    /** A worker refused to start a task because its free capacity was too small. */
     START_WITHOUT_ROOM,
 
     /** Two attempts of one part of a job ran at the same time. */
@@ -27,7 +27,7 @@
     REQUEST_WITHOUT_SLOT,
 }
 
-/** One violation; [subject] is the worker, the part (`JOB/PART`), the request or the endpoint that it concerns. */
+/** One violation; [subject] is the worker, the part (`JOB/PART`), the request or the endpoint concerned. */
 @Serializable
 public data class Violation(
     public val kind: ViolationKind,
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/VmHistory.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/VmHistory.kt
@@ -1,4 +1,4 @@
-/** The VM list as it was at any time, so that a lagging list can be shown. */
+/** History of the VM list, from which a stale list can be returned. */
 package dev.bronzeshore.standins
 
 import dev.bronzeshore.core.ClockMs
@@ -6,7 +6,7 @@
 
 private class Snapshot(val sinceMs: Long, val vms: Map<String, Vm>)
 
-/** Keeps each version of the list; may be used from any thread. */
+/** Keeps each version of the list. Thread-safe. */
 internal class VmHistory(private val clock: ClockMs) {
     private val snapshots = mutableListOf(Snapshot(Long.MIN_VALUE, emptyMap()))
 
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/VmListStandIn.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/VmListStandIn.kt
@@ -1,4 +1,4 @@
-/** VM list, with control calls that add, change and remove VMs. */
+/** HTTP server of the VM list, with control calls that add, change and remove VMs. */
 package dev.bronzeshore.standins
 
 import dev.bronzeshore.core.ClockMs
@@ -12,18 +12,18 @@
 internal const val VMS_CONTROL_PATH = "/stand-in/vms"
 
 internal class VmListStandIn(override val id: String, clock: ClockMs) : StandIn {
-    override val gate = FaultGate()
+    override val faultInjector = FaultInjector()
     override val calls = CallCounter()
     private val history = VmHistory(clock)
 
     /** Adds VMs, or replaces those with the same id. */
     fun put(vms: List<Vm>) = history.put(vms)
 
-    override suspend fun answer(call: ApplicationCall, path: String): Answer =
-        if (path == "/vms") Answer.json(history.view(gate.faults.vmListLagMs)) else Answer.notFound
+    override suspend fun handleCall(call: ApplicationCall, path: String): Answer =
+        if (path == "/vms") Answer.json(history.view(faultInjector.faults.vmListLagMs)) else Answer.notFound
 
     /** `PUT /stand-in/vms` with a list of VMs adds or replaces them, `DELETE /stand-in/vms/ID` removes one. */
-    override suspend fun control(call: ApplicationCall, path: String): Answer = when {
+    override suspend fun handleControlCall(call: ApplicationCall, path: String): Answer = when {
         call.request.httpMethod == HttpMethod.Put && path == VMS_CONTROL_PATH -> {
             put(WireJson.decodeFromString<List<Vm>>(call.receiveText()))
             Answer.empty
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/VmRegistrar.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/VmRegistrar.kt
@@ -1,4 +1,4 @@
-/** Tells the VM list of another process about VMs. */
+/** Registers VMs with the VM list of another process. */
 package dev.bronzeshore.standins
 
 import dev.bronzeshore.core.Vm
@@ -11,11 +11,11 @@
 import kotlinx.serialization.encodeToString
 
 internal class VmRegistrar {
-    /** Adds [vms] to the list at [address] (`host:port`), or fails. */
+    /** Adds [vms] to the list at [address] (`host:port`); throws if the list refuses them. */
     suspend fun register(address: String, vms: List<Vm>) {
         HttpClient(CIO).use { client ->
-            val answer = client.put("http://$address$VMS_CONTROL_PATH") { setBody(WireJson.encodeToString(vms)) }
-            check(answer.status.isSuccess()) { "The VM list at $address answered ${answer.status}." }
+            val response = client.put("http://$address$VMS_CONTROL_PATH") { setBody(WireJson.encodeToString(vms)) }
+            check(response.status.isSuccess()) { "The VM list at $address responded with status ${response.status}." }
         }
     }
 }
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/WorkerCommand.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/WorkerCommand.kt
@@ -1,4 +1,4 @@
-/** Command `worker`: one worker, or several alike. */
+/** Command `worker`: one worker or several identical ones. */
 package dev.bronzeshore.standins
 
 import dev.bronzeshore.core.Resources
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/WorkerStandIn.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/WorkerStandIn.kt
@@ -1,4 +1,4 @@
-/** HTTP side of a worker. */
+/** HTTP server of a worker. */
 package dev.bronzeshore.standins
 
 import dev.bronzeshore.core.ClockMs
@@ -11,17 +11,17 @@
 
 internal class WorkerStandIn(plan: WorkerPlan, clock: ClockMs) : StandIn {
     override val id: String = plan.id
-    override val gate = FaultGate()
+    override val faultInjector = FaultInjector()
     override val calls = CallCounter()
-    private val tasks = WorkerTasks(plan, clock) { gate.faults.failTasks }
+    private val tasks = WorkerTasks(plan, clock) { faultInjector.faults.failTasks }
 
-    override suspend fun answer(call: ApplicationCall, path: String): Answer {
+    override suspend fun handleCall(call: ApplicationCall, path: String): Answer {
         if (call.request.httpMethod != HttpMethod.Post || path != "/commands") return Answer.notFound
-        return Answer.json(tasks.follow(WireJson.decodeFromString<WorkerCommands>(call.receiveText())))
+        return Answer.json(tasks.execute(WireJson.decodeFromString<WorkerCommands>(call.receiveText())))
     }
 
-    /** `POST /stand-in/restart` loses all tasks and all memory of them. */
-    override suspend fun control(call: ApplicationCall, path: String): Answer {
+    /** `POST /stand-in/restart` discards all tasks and their ids, but not their records. */
+    override suspend fun handleControlCall(call: ApplicationCall, path: String): Answer {
         if (call.request.httpMethod != HttpMethod.Post || path != "/stand-in/restart") return Answer.notFound
         tasks.restart()
         return Answer.empty
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/WorkerTasks.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/WorkerTasks.kt
@@ -1,4 +1,4 @@
-/** The rules by which a worker starts, keeps and ends tasks. */
+/** Tasks of a worker: start conditions, leases, orders and ends. */
 package dev.bronzeshore.standins
 
 import dev.bronzeshore.core.ClockMs
@@ -11,53 +11,53 @@
 import dev.bronzeshore.core.WorkerReport
 
 /**
- * Tasks of one worker; may be used from any thread.
+ * Tasks of one worker. Thread-safe.
  *
- * Nothing happens between calls: each call first ends the tasks whose deadlines have passed, at those deadlines.
+ * Uses no timers: each call first ends the tasks whose deadlines have passed, with the deadline as the end time.
  */
 internal class WorkerTasks(
     private val plan: WorkerPlan,
     private val clock: ClockMs,
     private val failsTasks: () -> Boolean,
 ) {
-    private val known = HashSet<TaskId>()
+    private val knownTaskIds = HashSet<TaskId>()
     private val running = LinkedHashMap<TaskId, TaskRun>()
     private val ended = LinkedHashMap<TaskId, TaskStatus>()
     private val endedRecords = mutableListOf<TaskRecord>()
     private var highestUse = Resources.NONE
     private var highestGiven = Resources.NONE
 
-    /** Follows the commands and reports the state after them. */
+    /** Executes the commands and reports the resulting state. */
     @Synchronized
-    fun follow(commands: WorkerCommands): WorkerReport {
+    fun execute(commands: WorkerCommands): WorkerReport {
         val nowMs = clock()
-        endDue(nowMs)
+        endDueTasks(nowMs)
         commands.renewals.forEach { running[it.task]?.renew(it.leaseUntilMs) }
         commands.orders.forEach { running[it.task]?.order(it.action, nowMs, plan.stopMs) }
         commands.acknowledged.forEach { ended.remove(it) }
-        endDue(nowMs)
+        endDueTasks(nowMs)
         commands.starts.forEach {
             start(it, nowMs)
-            endDue(nowMs)
+            endDueTasks(nowMs)
         }
         val tasks = running.values.map { status(it, nowMs) } + ended.values
         return WorkerReport(plan.id, nowMs, plan.capacity, tasks)
     }
 
-    /** Loses everything that runs and is remembered, as a VM does that is restarted; records are kept. */
+    /** Discards running, ended and known tasks, as a restart of the VM does; records are kept. */
     @Synchronized
     fun restart() {
         val nowMs = clock()
-        endDue(nowMs)
+        endDueTasks(nowMs)
         running.values.forEach { endedRecords += record(it, nowMs, TaskState.STOPPED) }
         running.clear()
         ended.clear()
-        known.clear()
+        knownTaskIds.clear()
     }
 
     @Synchronized
     fun records(calls: CallCounts): ServerRecords {
-        endDue(clock())
+        endDueTasks(clock())
         return ServerRecords(
             plan.id,
             ServerRole.WORKER,
@@ -70,7 +70,7 @@
     }
 
     private fun start(start: TaskStart, nowMs: Long) {
-        if (!known.add(start.task)) return
+        if (!knownTaskIds.add(start.task)) return
         val inUse = total { it.use }
         val refusal = when {
             nowMs > start.startBeforeMs || nowMs >= start.leaseUntilMs -> Refusal.LATE
@@ -78,9 +78,9 @@
             else -> null
         }
         if (refusal != null) return refuse(start, refusal, nowMs)
-        running[start.task] = TaskRun(start, nowMs, plan.useOf(start), failsTasks())
-        highestUse = highest(highestUse, total { it.use })
-        highestGiven = highest(highestGiven, total { it.start.size })
+        running[start.task] = TaskRun(start, nowMs, plan.usageOf(start), failsTasks())
+        highestUse = componentwiseMax(highestUse, total { it.use })
+        highestGiven = componentwiseMax(highestGiven, total { it.start.size })
     }
 
     private fun refuse(start: TaskStart, refusal: Refusal, nowMs: Long) {
@@ -99,7 +99,7 @@
         )
     }
 
-    private fun endDue(nowMs: Long) {
+    private fun endDueTasks(nowMs: Long) {
         val due = running.values.filter { it.endsAtMs <= nowMs }.sortedBy { it.endsAtMs }
         due.forEach {
             val id = it.start.task
@@ -111,8 +111,8 @@
     }
 
     private fun status(run: TaskRun, nowMs: Long): TaskStatus {
-        val seen = run.uses.lastOrNull { it.sinceMs <= nowMs - plan.usageLagMs }?.used ?: Resources.NONE
-        return TaskStatus(run.start.task, TaskState.RUNNING, run.startedAtMs, run.leaseUntilMs, seen)
+        val reportedUse = run.uses.lastOrNull { it.sinceMs <= nowMs - plan.usageLagMs }?.used ?: Resources.NONE
+        return TaskStatus(run.start.task, TaskState.RUNNING, run.startedAtMs, run.leaseUntilMs, reportedUse)
     }
 
     private fun record(run: TaskRun, endedAtMs: Long?, ending: TaskState?): TaskRecord = TaskRecord(
@@ -130,7 +130,7 @@
         running.values.fold(Resources.NONE) { sum, run -> sum + amount(run) }
 }
 
-private fun highest(one: Resources, other: Resources): Resources = Resources(
+private fun componentwiseMax(one: Resources, other: Resources): Resources = Resources(
     maxOf(one.processorsMillicores, other.processorsMillicores),
     maxOf(one.memoryBytes, other.memoryBytes),
     maxOf(one.accelerators, other.accelerators),
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/cluster/RunningTaskModel.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/cluster/RunningTaskModel.kt
@@ -4,8 +4,8 @@
 import dev.bronzeshore.core.Resources
 import dev.bronzeshore.core.cluster.TaskRun
 
-internal class RunningTaskModel(val run: TaskRun, val room: Resources, val startedAtMs: Long, val durationMs: Long) {
-    fun percent(nowMs: Long): Int = ((nowMs - startedAtMs) * PERCENT / durationMs).toInt().coerceIn(0, PERCENT)
+internal class RunningTaskModel(val run: TaskRun, val demand: Resources, val startedAtMs: Long, val durationMs: Long) {
+    fun progressPercent(nowMs: Long): Int = ((nowMs - startedAtMs) * PERCENT / durationMs).toInt().coerceIn(0, PERCENT)
 
     fun isDone(nowMs: Long): Boolean = nowMs - startedAtMs >= durationMs
 
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/cluster/StoreFaults.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/cluster/StoreFaults.kt
@@ -1,28 +1,28 @@
-/** Faults of the in-memory store, switched by tests while it runs. */
+/** Faults of the in-memory store, which tests change while it runs. */
 package dev.bronzeshore.standins.cluster
 
 public class StoreFaults {
-    /** The store refuses all calls. */
+    /** Makes the store refuse all calls. */
     public var isDown: Boolean = false
 
-    /** Callers that are refused although the store serves others. */
+    /** Callers whose calls are refused while the store serves others. */
     public val refusedCallers: MutableSet<String> = HashSet()
 
-    /** Callers whose change feeds get no answer, as on a connection that has fallen silent. */
+    /** Callers whose change feeds get no response until their timeout, as on a half-open connection. */
     public val unresponsiveFeeds: MutableSet<String> = HashSet()
 
-    /** Callers whose change feeds answer later by this time. */
+    /** Extra latency of change feeds, by caller. */
     public val feedDelayMs: MutableMap<String, Long> = HashMap()
 
-    /** Time that each call takes. */
+    /** Latency of each call. */
     public var latencyMs: Long = 4
 
-    /** Share of the transactions that take effect without an answer. */
+    /** Fraction of the transactions whose response is lost; they are applied after [lostWriteDelayMs]. */
     public var lostResponseShare: Double = 0.0
 
-    /** Lost transactions take effect this much later, if their conditions still hold. */
+    /** Delay after which a transaction without a response is applied, if its conditions still hold. */
     public var lostWriteDelayMs: Long = 0
 
-    /** Change feeds that start before this version are told that the history is gone. */
+    /** Change feeds that start before this version fail because the history is gone. */
     public var oldestHistoryVersion: Long = 0
 }
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/cluster/StoreStandIn.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/cluster/StoreStandIn.kt
@@ -1,4 +1,4 @@
-/** The platform's transactional store in memory, with faults. For one thread, on the virtual time of a test. */
+/** In-memory transactional store with fault injection, on the virtual time of a test. Not thread-safe. */
 package dev.bronzeshore.standins.cluster
 
 import arrow.core.Either
@@ -18,24 +18,24 @@
 import kotlinx.coroutines.launch
 import kotlin.random.Random
 
-private const val FEED_POLL_MS = 5L
+private const val FEED_POLL_PERIOD_MS = 5L
 
-/** Time after which a caller gives up a call without an answer. */
-private const val GIVE_UP_MS = 600L
+/** Timeout of a caller for a call without a response. */
+private const val CALL_TIMEOUT_MS = 600L
 
-/** The longest time-out of a feed call beyond its wait, which it has after an outage. */
-private const val SILENT_FEED_MS = 2_200L
+/** Longest timeout of a change feed call beyond its wait time; callers use it after an outage. */
+private const val FEED_TIMEOUT_MARGIN_MS = 2_200L
 
 public class StoreStandIn(private val random: Random, private val scope: CoroutineScope) {
     public val faults: StoreFaults = StoreFaults()
     private val rows = HashMap<RowId, StoredRow>()
-    private val historyOfTable = HashMap<String, ArrayList<StoredRow>>()
+    private val historyByTable = HashMap<String, ArrayList<StoredRow>>()
     private var version = 0L
 
-    /** Number of calls by kind, for tests of what a design costs. */
+    /** Number of calls and of faults in calls, by kind. */
     public val calls: MutableMap<String, Int> = HashMap()
 
-    /** The store as the process [caller] reaches it. */
+    /** Returns the store client of the process [caller]. */
     public fun clientFor(caller: String): ClusterStore = ClusterStore(
         transact = { transact(caller, it) },
         readPage = { readPage(caller, it) },
@@ -45,10 +45,10 @@
     /** The version of the last transaction. */
     public val newestVersion: Long get() = version
 
-    /** The value of a row now, without a call. */
+    /** Returns the current value of a row without a simulated call. */
     public fun valueOf(id: RowId): ByteArray? = rows[id]?.value
 
-    /** All rows of a table now, without a call. */
+    /** Returns all current rows of a table without a simulated call. */
     public fun rowsOf(table: String): List<StoredRow> = rows.values.filter { it.id.table == table && it.value != null }
 
     private fun isRefused(caller: String) = faults.isDown || caller in faults.refusedCallers
@@ -63,7 +63,7 @@
                 delay(faults.lostWriteDelayMs)
                 apply(transaction)
             }
-            delay(GIVE_UP_MS)
+            delay(CALL_TIMEOUT_MS)
             return StoreOutcome.Unknown("lost")
         }
         val outcome = apply(transaction)
@@ -83,10 +83,10 @@
 
     private fun record(row: StoredRow) {
         if (row.value == null) rows.remove(row.id) else rows[row.id] = row
-        historyOfTable.getOrPut(row.id.table) { ArrayList() } += row
+        historyByTable.getOrPut(row.id.table) { ArrayList() } += row
     }
 
-    /** Writes a row as the operators or the workers do. */
+    /** Writes a row immediately, as an operator or a worker would. */
     public fun put(id: RowId, value: ByteArray?) {
         version++
         record(StoredRow(id, value, version))
@@ -111,23 +111,23 @@
     ): Either<ReadFailure, ChangePage> {
         calls.merge("changes", 1, Int::plus)
         if (caller in faults.unresponsiveFeeds) {
-            calls.merge("silent feed", 1, Int::plus)
-            delay(waitMs + SILENT_FEED_MS)
-            return ReadFailure.Unavailable("no answer").left()
+            calls.merge("unresponsive feed", 1, Int::plus)
+            delay(waitMs + FEED_TIMEOUT_MARGIN_MS)
+            return ReadFailure.Unavailable("no response").left()
         }
         var waitedMs = 0L
         while (true) {
             if (isRefused(caller)) return ReadFailure.Unavailable("refused").left()
             if (afterVersion < faults.oldestHistoryVersion) return ReadFailure.HistoryGone.left()
-            val changed = historyOfTable[table].orEmpty().takeLastWhile { it.version > afterVersion }
+            val changed = historyByTable[table].orEmpty().takeLastWhile { it.version > afterVersion }
             if (changed.isNotEmpty() || waitedMs >= waitMs) {
-                // Rows that are written while the answer is on its way belong to the next page.
+                // Rows that are written while the response is in flight belong to the next page.
                 val page = ChangePage(changed, version)
                 delay(faults.latencyMs + (faults.feedDelayMs[caller] ?: 0))
                 return page.right()
             }
-            delay(FEED_POLL_MS)
-            waitedMs += FEED_POLL_MS
+            delay(FEED_POLL_PERIOD_MS)
+            waitedMs += FEED_POLL_PERIOD_MS
         }
     }
 }
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/cluster/WorkerFaults.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/cluster/WorkerFaults.kt
@@ -1,19 +1,19 @@
-/** Faults of in-memory workers, switched by tests while they run. */
+/** Faults of in-memory workers, which tests change while they run. */
 package dev.bronzeshore.standins.cluster
 
 public class WorkerFaults {
-    /** Share of the orders that get no answer and are carried out late. */
+    /** Fraction of the start requests that get no response and are applied after a random delay. */
     public var delayedRequestShare: Double = 0.0
 
-    /** Longest delay of such an order. */
+    /** Upper bound of that delay. */
     public var maxRequestDelayMs: Long = 12_000
 
-    /** Workers that no call reaches, and that run on. */
+    /** Workers that no call reaches while they keep running. */
     public val unreachable: MutableSet<String> = HashSet()
 
-    /** Workers on which every run fails after a moment. */
+    /** Workers on which every run fails shortly after its start. */
     public val failing: MutableSet<String> = HashSet()
 
-    /** Workers on which runs stand still. */
+    /** Workers on which no run completes. */
     public val stalled: MutableSet<String> = HashSet()
 }
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/cluster/WorkerModel.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/cluster/WorkerModel.kt
@@ -1,4 +1,4 @@
-/** One life of an in-memory worker: fences, leases, runs and their ends. */
+/** One incarnation of an in-memory worker: fencing token, lease, runs and their ends. */
 package dev.bronzeshore.standins.cluster
 
 import dev.bronzeshore.core.cluster.EndKind
@@ -25,93 +25,93 @@
     private val startedAtMs = clock()
     private val running = LinkedHashMap<TaskName, RunningTaskModel>()
     private val ends = ArrayList<TaskEnd>()
-    private val highestEnded = HashMap<TaskName, Long>()
-    private var fence = 0L
+    private val highestEndedRun = HashMap<TaskName, Long>()
+    private var fencingToken = 0L
     private var leaseUntilMs = 0L
-    private var acknowledged = 0L
-    private var lastEnd = 0L
+    private var acknowledgedEnd = 0L
+    private var lastEndNumber = 0L
     private val id get() = entry.incarnation.workerId
 
-    /** The worker's own steady clock, which starts with its life. */
-    private fun now(): Long = clock() - startedAtMs
+    /** The worker's own monotonic clock, which starts at 0 with its incarnation. */
+    private fun nowMs(): Long = clock() - startedAtMs
 
-    /** Ends runs that are done, have failed or have lost their lease. */
+    /** Ends runs that are done, have failed or whose lease has expired. */
     fun advance() {
-        val expired = now() > leaseUntilMs
+        val expired = nowMs() > leaseUntilMs
         for (model in running.values.toList()) {
             when {
                 expired -> end(model, EndKind.LEASE_EXPIRED)
-                id in faults.failing && now() - model.startedAtMs > FAILS_AFTER_MS -> end(model, EndKind.FAILED)
+                id in faults.failing && nowMs() - model.startedAtMs > FAILURE_DELAY_MS -> end(model, EndKind.FAILED)
                 id in faults.stalled -> Unit
-                model.isDone(now()) -> end(model, EndKind.DONE)
+                model.isDone(nowMs()) -> end(model, EndKind.DONE)
             }
         }
     }
 
-    fun start(order: StartRequest, task: TaskModel): StartAnswer {
+    fun start(request: StartRequest, task: TaskModel): StartAnswer {
         advance()
-        val refusal = refusalOf(order)
-        if (refusal != null) return StartAnswer(refusal, now())
-        leaseUntilMs = maxOf(leaseUntilMs, minOf(order.validUntilWorkerMs, now() + MAX_LEASE_MS))
-        if (running[order.run.task]?.run == order.run) return StartAnswer(StartResult.STARTED, now())
-        checker.started(order.run, id)
-        running[order.run.task] = RunningTaskModel(order.run, task.demand, now(), task.durationMs)
-        checker.checkRoom(id, running.values.map { it.room }, entry.capacity)
-        return StartAnswer(StartResult.STARTED, now())
+        val refusal = refusalOf(request)
+        if (refusal != null) return StartAnswer(refusal, nowMs())
+        leaseUntilMs = maxOf(leaseUntilMs, minOf(request.validUntilWorkerMs, nowMs() + MAX_LEASE_MS))
+        if (running[request.run.task]?.run == request.run) return StartAnswer(StartResult.STARTED, nowMs())
+        checker.recordStart(request.run, id)
+        running[request.run.task] = RunningTaskModel(request.run, task.demand, nowMs(), task.durationMs)
+        checker.checkCapacity(id, running.values.map { it.demand }, entry.capacity)
+        return StartAnswer(StartResult.STARTED, nowMs())
     }
 
-    private fun refusalOf(order: StartRequest): StartResult? {
-        if (order.fencingToken < fence) return StartResult.FENCED
-        fence = order.fencingToken
+    private fun refusalOf(request: StartRequest): StartResult? {
+        if (request.fencingToken < fencingToken) return StartResult.FENCED
+        fencingToken = request.fencingToken
         return when {
-            now() > order.validUntilWorkerMs -> StartResult.TOO_LATE
-            (highestEnded[order.run.task] ?: 0) >= order.run.run -> StartResult.SUPERSEDED
-            (running[order.run.task]?.run?.run ?: 0) > order.run.run -> StartResult.SUPERSEDED
+            nowMs() > request.validUntilWorkerMs -> StartResult.TOO_LATE
+            (highestEndedRun[request.run.task] ?: 0) >= request.run.run -> StartResult.SUPERSEDED
+            (running[request.run.task]?.run?.run ?: 0) > request.run.run -> StartResult.SUPERSEDED
             else -> null
         }
     }
 
-    fun stop(run: TaskRun, orderFence: Long): Boolean {
+    fun stop(run: TaskRun, requestToken: Long): Boolean {
         advance()
-        if (orderFence < fence) return false
-        fence = orderFence
-        highestEnded.merge(run.task, run.run, ::maxOf)
+        if (requestToken < fencingToken) return false
+        fencingToken = requestToken
+        highestEndedRun.merge(run.task, run.run, ::maxOf)
         running[run.task]?.takeIf { it.run == run }?.let { end(it, EndKind.STOPPED) }
         return true
     }
 
-    fun hold(order: HoldRequest): HoldAnswer {
+    fun hold(request: HoldRequest): HoldAnswer {
         advance()
-        if (order.fencingToken < fence) return HoldAnswer.Fenced
-        fence = order.fencingToken
-        order.leaseUntilWorkerMs?.let { leaseUntilMs = maxOf(leaseUntilMs, minOf(it, now() + MAX_LEASE_MS)) }
-        acknowledge(order.acknowledgedEnd)
-        val runs = running.values.map { RunningTask(it.run, null, it.percent(now())) }
-        return HoldAnswer.Report(entry.incarnation.startedAtMs, now(), runs, ends.toList())
+        if (request.fencingToken < fencingToken) return HoldAnswer.Fenced
+        fencingToken = request.fencingToken
+        request.leaseUntilWorkerMs?.let { leaseUntilMs = maxOf(leaseUntilMs, minOf(it, nowMs() + MAX_LEASE_MS)) }
+        acknowledge(request.acknowledgedEnd)
+        val runs = running.values.map { RunningTask(it.run, null, it.progressPercent(nowMs())) }
+        return HoldAnswer.Report(entry.incarnation.startedAtMs, nowMs(), runs, ends.toList())
     }
 
-    val hasNews: Boolean get() = ends.isNotEmpty()
+    val hasUnacknowledgedEnds: Boolean get() = ends.isNotEmpty()
 
-    /** The life ends: what runs is gone without an end. */
+    /** Ends the incarnation: running tasks are lost and report no end. */
     fun crash() {
-        running.values.forEach { checker.vanished(it.run, id) }
+        running.values.forEach { checker.recordLoss(it.run, id) }
         running.clear()
     }
 
     private fun acknowledge(number: Long) {
-        ends.filter { it.number in (acknowledged + 1)..number }.forEach { checker.acknowledged(it) }
+        ends.filter { it.number in (acknowledgedEnd + 1)..number }.forEach { checker.recordAcknowledgement(it) }
         ends.removeAll { it.number <= number }
-        acknowledged = maxOf(acknowledged, number)
+        acknowledgedEnd = maxOf(acknowledgedEnd, number)
     }
 
     private fun end(model: RunningTaskModel, kind: EndKind) {
         running.remove(model.run.task)
-        highestEnded.merge(model.run.task, model.run.run, ::maxOf)
-        ends += TaskEnd(++lastEnd, model.run, kind, null)
-        checker.ended(model.run, id, kind)
+        highestEndedRun.merge(model.run.task, model.run.run, ::maxOf)
+        ends += TaskEnd(++lastEndNumber, model.run, kind, null)
+        checker.recordEnd(model.run, id, kind)
     }
 
     private companion object {
-        const val FAILS_AFTER_MS = 50L
+        const val FAILURE_DELAY_MS = 50L
     }
 }
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/cluster/WorkersStandIn.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/cluster/WorkersStandIn.kt
@@ -1,4 +1,4 @@
-/** A fleet of in-memory workers that register in the store stand-in. On the virtual time of a test. */
+/** In-memory workers that report changes of their list, on the virtual time of a test. Not thread-safe. */
 package dev.bronzeshore.standins.cluster
 
 import dev.bronzeshore.core.Resources
@@ -18,12 +18,12 @@
 import kotlinx.coroutines.launch
 import kotlin.random.Random
 
-private const val CALL_MS = 2L
+private const val CALL_LATENCY_MS = 2L
 private const val CALL_TIMEOUT_MS = 300L
-private const val POLL_MS = 10L
+private const val POLL_PERIOD_MS = 10L
 
-/** Shortest delay of an order that is carried out late. */
-private const val EARLIEST_LATE_MS = 500L
+/** Minimum delay of a start request that is applied late. */
+private const val MIN_REQUEST_DELAY_MS = 500L
 
 public class WorkersStandIn(
     private val random: Random,
@@ -37,12 +37,12 @@
     public val checker: RunInvariantChecker = RunInvariantChecker()
     private val workers = LinkedHashMap<String, WorkerModel>()
 
-    /** The changes of the list of workers, as the store would show them. */
+    /** Callback for changes of the list of workers, in the form in which the store reports them. */
     public var onChange: (WorkerChange) -> Unit = {}
 
     public val ids: Set<String> get() = workers.keys
 
-    /** Starts a worker, or a new life of one that has crashed. */
+    /** Starts a worker, or a new incarnation of one that has crashed. */
     public fun boot(workerId: String) {
         val entry = WorkerEntry(
             WorkerIncarnation(workerId, clock() + 1),
@@ -58,71 +58,71 @@
         onChange(WorkerChange(workerId, entry))
     }
 
-    /** Ends the life of a worker; what runs there is gone. */
+    /** Ends the incarnation of a worker; its runs are lost. */
     public fun crash(workerId: String) {
         workers.remove(workerId)?.crash()
     }
 
-    /** Advances all workers, so that runs end also while nobody asks. */
+    /** Advances all workers periodically, so that runs also end without a call. */
     public suspend fun run() {
         while (true) {
             workers.values.toList().forEach { it.advance() }
-            delay(POLL_MS)
+            delay(POLL_PERIOD_MS)
         }
     }
 
-    /** The calls of one leader, whose looks at a worker take the time that [lookDelayMs] says. */
-    public fun calls(lookDelayMs: (workerId: String) -> Long = { 0 }): WorkerCalls = WorkerCalls(
+    /** Returns the calls of one leader; [pollDelayMs] is the extra latency of its requests for a worker's report. */
+    public fun calls(pollDelayMs: (workerId: String) -> Long = { 0 }): WorkerCalls = WorkerCalls(
         start = ::start,
         stop = ::stop,
-        hold = { worker, order ->
-            delay(lookDelayMs(worker.incarnation.workerId))
-            hold(worker, order)
+        hold = { worker, request ->
+            delay(pollDelayMs(worker.incarnation.workerId))
+            hold(worker, request)
         },
     )
 
-    private fun reach(worker: WorkerEntry): WorkerModel? =
+    private fun reachableWorker(worker: WorkerEntry): WorkerModel? =
         workers[worker.incarnation.workerId].takeIf { worker.incarnation.workerId !in faults.unreachable }
 
-    private suspend fun start(worker: WorkerEntry, order: StartRequest): StartAnswer {
-        delay(CALL_MS)
-        val model = reach(worker) ?: return unanswered()
-        val task = taskOf(order.run.task)
-        if (random.nextDouble() >= faults.delayedRequestShare) return model.start(order, task)
+    private suspend fun start(worker: WorkerEntry, request: StartRequest): StartAnswer {
+        delay(CALL_LATENCY_MS)
+        val model = reachableWorker(worker) ?: return startTimeout()
+        val task = taskOf(request.run.task)
+        if (random.nextDouble() >= faults.delayedRequestShare) return model.start(request, task)
         scope.launch {
-            delay(random.nextLong(EARLIEST_LATE_MS, faults.maxRequestDelayMs))
-            if (workers[worker.incarnation.workerId] === model) model.start(order, task)
+            delay(random.nextLong(MIN_REQUEST_DELAY_MS, faults.maxRequestDelayMs))
+            if (workers[worker.incarnation.workerId] === model) model.start(request, task)
         }
-        return unanswered()
+        return startTimeout()
     }
 
-    private suspend fun unanswered(): StartAnswer {
+    private suspend fun startTimeout(): StartAnswer {
         delay(CALL_TIMEOUT_MS)
         return StartAnswer(StartResult.UNKNOWN)
     }
 
-    private suspend fun stop(worker: WorkerEntry, run: TaskRun, fence: Long): Boolean {
-        delay(CALL_MS)
-        val model = reach(worker)
+    private suspend fun stop(worker: WorkerEntry, run: TaskRun, fencingToken: Long): Boolean {
+        delay(CALL_LATENCY_MS)
+        val model = reachableWorker(worker)
         if (model == null) delay(CALL_TIMEOUT_MS)
-        return model?.stop(run, fence) ?: false
+        return model?.stop(run, fencingToken) ?: false
     }
 
-    private suspend fun hold(worker: WorkerEntry, order: HoldRequest): HoldAnswer {
-        delay(CALL_MS)
+    private suspend fun hold(worker: WorkerEntry, request: HoldRequest): HoldAnswer {
+        delay(CALL_LATENCY_MS)
         var waitedMs = 0L
-        val first = reach(worker)?.hold(order) ?: return unreachable()
-        while (first is HoldAnswer.Report && waitedMs < order.waitMs) {
-            val model = reach(worker) ?: return unreachable()
-            if (model.hasNews) return model.hold(order)
-            delay(POLL_MS)
-            waitedMs += POLL_MS
+        val initialAnswer = reachableWorker(worker)?.hold(request) ?: return holdTimeout()
+        while (initialAnswer is HoldAnswer.Report && waitedMs < request.waitMs) {
+            val model = reachableWorker(worker) ?: return holdTimeout()
+            if (model.hasUnacknowledgedEnds) return model.hold(request)
+            delay(POLL_PERIOD_MS)
+            waitedMs += POLL_PERIOD_MS
         }
-        return reach(worker)?.hold(order) ?: unreachable()
+        return reachableWorker(worker)?.hold(request) ?: holdTimeout()
     }
 
-    private suspend fun unreachable(): HoldAnswer {
+    private suspend fun holdTimeout(): HoldAnswer {
         delay(CALL_TIMEOUT_MS)
-        return HoldAnswer.Unreachable("cut off")
+        return HoldAnswer.Unreachable("no response")
     }
 }
--- a/stand-ins/src/main/kotlin/dev/bronzeshore/standins/sample/SampleWork.kt
+++ b/stand-ins/src/main/kotlin/dev/bronzeshore/standins/sample/SampleWork.kt
@@ -1,4 +1,4 @@
-/** Sends one of each kind of work of the quickstart's plans and prints what became of it. */
+/** Sends one request or job of each kind in the quickstart's plans and prints the results. */
 package dev.bronzeshore.standins.sample
 
 import dev.bronzeshore.core.JobRecord
@@ -29,11 +29,11 @@
 import kotlin.system.exitProcess
 
 private const val GIB = 1_073_741_824L
-private const val POLL_MS = 100L
-private const val ANSWER_WITHIN_MS = 60_000L
+private const val POLL_PERIOD_MS = 100L
+private const val RESULT_TIMEOUT_MS = 60_000L
 private const val ENTRY_URL = "http://127.0.0.1:18001"
 
-/** One line of the table. */
+/** A row of the printed table. */
 private class SampleResult(val kind: String, val place: String, val waitMs: Long?, val result: String, val ok: Boolean)
 
 private class SampleJob(val plan: String, val submission: JobSubmission)
@@ -63,7 +63,7 @@
     SampleRequest("solvgaard", "stockCheck", "kit", "stock/pinhole-6x6"),
 )
 
-/** Entry point; exits with status 1 if a kind was not answered. */
+/** Entry point; exits with status 1 if a request or a job did not succeed. */
 public fun main() {
     val results = runBlocking {
         HttpClient(CIO).use { client ->
@@ -85,55 +85,55 @@
 
 private class SampleWork(private val client: HttpClient) {
     suspend fun send(request: SampleRequest): SampleResult {
-        val giveUpAtMs = System.currentTimeMillis() + ANSWER_WITHIN_MS
+        val deadlineMs = System.currentTimeMillis() + RESULT_TIMEOUT_MS
         while (true) {
             val body = "viewing request ${UUID.randomUUID()}"
             val response = client.post("$ENTRY_URL/v1/services/${request.service}/${request.path}") {
-                plan(request.plan)
+                authenticate(request.plan)
                 header("Bronzeshore-Kind", request.kind)
                 setBody(body)
             }
             val text = response.bodyAsText()
-            // The fleet may not be known yet right after the start; "not run" may be repeated.
-            if (response.status.isSuccess() || System.currentTimeMillis() > giveUpAtMs) {
-                val isWhole = response.status.isSuccess() && text == body
+            // Right after the start, the endpoints may not be known yet; a request that did not run may be sent again.
+            if (response.status.isSuccess() || System.currentTimeMillis() > deadlineMs) {
+                val isComplete = response.status.isSuccess() && text == body
                 val place = response.headers["Bronzeshore-Endpoint"] ?: "-"
-                val result = if (isWhole) "answered" else "${response.status.value} $text"
+                val result = if (isComplete) "answered" else "${response.status.value} $text"
                 return SampleResult(
                     request.kind,
                     place,
                     response.headers["Bronzeshore-Wait-Ms"]?.toLong(),
                     result,
-                    isWhole,
+                    isComplete,
                 )
             }
-            delay(POLL_MS)
+            delay(POLL_PERIOD_MS)
         }
     }
 
     suspend fun run(job: SampleJob): SampleResult {
         val key = UUID.randomUUID().toString()
-        val giveUpAtMs = System.currentTimeMillis() + ANSWER_WITHIN_MS
+        val deadlineMs = System.currentTimeMillis() + RESULT_TIMEOUT_MS
         var response = submit(job, key)
-        while (!response.status.isSuccess() && System.currentTimeMillis() < giveUpAtMs) {
-            delay(POLL_MS)
+        while (!response.status.isSuccess() && System.currentTimeMillis() < deadlineMs) {
+            delay(POLL_PERIOD_MS)
             response = submit(job, key)
         }
         val kind = job.submission.kind
         if (!response.status.isSuccess()) return SampleResult(kind, "-", null, response.bodyAsText(), ok = false)
         val jobId = WireJson.decodeFromString<JobRecord>(response.bodyAsText()).jobId
-        return awaitEnd(job, jobId, giveUpAtMs)
+        return awaitEnd(job, jobId, deadlineMs)
     }
 
     private suspend fun submit(job: SampleJob, key: String): HttpResponse = client.post("$ENTRY_URL/v1/jobs") {
-        plan(job.plan)
+        authenticate(job.plan)
         header("Idempotency-Key", key)
         setBody(WireJson.encodeToString(job.submission))
     }
 
-    private suspend fun awaitEnd(job: SampleJob, jobId: String, giveUpAtMs: Long): SampleResult {
+    private suspend fun awaitEnd(job: SampleJob, jobId: String, deadlineMs: Long): SampleResult {
         while (true) {
-            val response = client.get("$ENTRY_URL/v1/jobs/$jobId") { plan(job.plan) }
+            val response = client.get("$ENTRY_URL/v1/jobs/$jobId") { authenticate(job.plan) }
             val view = if (response.status.isSuccess()) {
                 WireJson.decodeFromString<JobView>(
                     response.bodyAsText(),
@@ -142,23 +142,23 @@
                 null
             }
             if (view?.record?.state?.isFinal == true ||
-                System.currentTimeMillis() > giveUpAtMs
+                System.currentTimeMillis() > deadlineMs
             ) {
                 return report(job, view)
             }
-            delay(POLL_MS)
+            delay(POLL_PERIOD_MS)
         }
     }
 
     private fun report(job: SampleJob, view: JobView?): SampleResult {
         val record = view?.record
         val places = record?.results.orEmpty().map { it.workerId }
-        val started = record?.results.orEmpty().minOfOrNull { it.startedAtMs }
-        val waitMs = if (record != null && started != null) started - record.acceptedAtMs else null
+        val startedAtMs = record?.results.orEmpty().minOfOrNull { it.startedAtMs }
+        val waitMs = if (record != null && startedAtMs != null) startedAtMs - record.acceptedAtMs else null
         val result = record?.let { "${it.state} ${view.waitReason.orEmpty()}" } ?: "no answer"
         val ok = record?.state == JobState.SUCCEEDED
         return SampleResult(job.submission.kind, places.joinToString().ifEmpty { "-" }, waitMs, result, ok)
     }
 
-    private fun HttpRequestBuilder.plan(plan: String) = bearerAuth("example-$plan-token")
+    private fun HttpRequestBuilder.authenticate(plan: String) = bearerAuth("example-$plan-token")
 }
--- a/stand-ins/src/test/kotlin/dev/bronzeshore/standins/PlatformPlanTest.kt
+++ b/stand-ins/src/test/kotlin/dev/bronzeshore/standins/PlatformPlanTest.kt
@@ -7,12 +7,12 @@
 import java.nio.file.Path
 import kotlin.io.path.readText
 
-/** Guards against an example that no longer loads and against servers that share an id, rack or port by mistake. */
+/** Guards against an example file that does not load and servers that share an id, rack or port by mistake. */
 class PlatformPlanTest {
     private val plan = StrictJson.decodeFromString<PlatformPlan>(Path.of("examples/platform.json").readText())
 
     @Test
-    fun `the example expands to alike workers in racks of eight`() {
+    fun `the example expands to workers in racks of eight`() {
         val workers = plan.workers.first().expand()
         assertEquals(16, workers.size)
         assertEquals(listOf("worker-north-1", "worker-north-8"), workers.filter { it.rack == "north-1" }.ends())
@@ -26,13 +26,13 @@
     }
 
     @Test
-    fun `expanded servers take the ports after the first`() {
+    fun `expanded servers use consecutive ports`() {
         val workers = plan.workers.first().copy(port = 7_100).expand()
         assertEquals(listOf(7_100, 7_115), listOf(workers.first().port, workers.last().port))
     }
 
     @Test
-    fun `an id that names two servers is refused`() {
+    fun `two servers with the same id are refused`() {
         val endpoint = EndpointPlan("e", "s", "a", "r", slots = 1)
         assertThrows(IllegalArgumentException::class.java) {
             Platform(PlatformPlan(endpoints = listOf(endpoint, endpoint))) { 0 }
--- a/stand-ins/src/test/kotlin/dev/bronzeshore/standins/PlatformTest.kt
+++ b/stand-ins/src/test/kotlin/dev/bronzeshore/standins/PlatformTest.kt
@@ -44,7 +44,7 @@
 import java.io.IOException
 import kotlin.random.Random
 
-/** Guards the HTTP side: streaming without holding bodies, faults, and addresses. */
+/** Guards against HTTP servers that buffer bodies, ignore injected faults or publish wrong addresses. */
 @Timeout(60)
 class PlatformTest {
     private var nowMs = 1_000L
@@ -70,9 +70,9 @@
     }
 
     @Test
-    fun `an endpoint sends a body back while it arrives and does not hold it`(): Unit = runBlocking {
-        // Each chunk is sent only after the one before it came back, so an endpoint that waits for the whole body
-        // would never answer.
+    fun `an endpoint streams a body back without buffering it`(): Unit = runBlocking {
+        // Each chunk is sent only after the previous one came back, so an endpoint that waits for the complete body
+        // would never respond.
         val chunk = Random(1).nextBytes(CHUNK_BYTES)
         val returned = Channel<Unit>(Channel.UNLIMITED)
         val body = object : OutgoingContent.WriteChannelContent() {
@@ -87,10 +87,10 @@
         client.preparePost("$endpoint/any/path") {
             header(REQUEST_HEADER, "r1")
             setBody(body)
-        }.execute { answer ->
-            assertEquals("e", answer.headers[ENDPOINT_HEADER])
-            assertEquals("r1", answer.headers[REQUEST_HEADER])
-            val channel = answer.bodyAsChannel()
+        }.execute { response ->
+            assertEquals("e", response.headers[ENDPOINT_HEADER])
+            assertEquals("r1", response.headers[REQUEST_HEADER])
+            val channel = response.bodyAsChannel()
             val received = ByteArray(CHUNK_BYTES)
             repeat(CHUNKS) {
                 channel.readFully(received)
@@ -109,32 +109,32 @@
         val slowBody = object : OutgoingContent.WriteChannelContent() {
             override suspend fun writeTo(channel: ByteWriteChannel) = release.await()
         }
-        val held = async { client.post(endpoint) { setBody(slowBody) } }
+        val pending = async { client.post(endpoint) { setBody(slowBody) } }
         while (recordsOf("e").requests.isEmpty()) yield()
         val refused = client.post(endpoint) { setBody("x") }
         assertEquals(HttpStatusCode.ServiceUnavailable, refused.status)
         assertEquals("true", refused.headers[NOT_RUN_HEADER])
         release.complete(Unit)
-        assertEquals(HttpStatusCode.OK, held.await().status)
+        assertEquals(HttpStatusCode.OK, pending.await().status)
         assertEquals(
             listOf(RequestEnding.ANSWERED, RequestEnding.REFUSED_NO_SLOT),
             recordsOf("e").requests.map { it.ending },
         )
-        // A slot is free again as soon as the answer is complete, so requests one after the other all run.
+        // A slot is released as soon as the response is complete, so consecutive requests all run.
         repeat(50) { assertEquals("x", client.post(endpoint) { setBody("x") }.bodyAsText()) }
         assertEquals(HttpStatusCode.OK, client.head(endpoint).status)
         assertEquals(1, recordsOf("e").highestSlotsInUse)
     }
 
     @Test
-    fun `an endpoint that fails answers 500 after the request ran`(): Unit = runBlocking {
+    fun `a failing endpoint responds with 500 after the request ran`(): Unit = runBlocking {
         platform.setFaults("e", Faults(failRequests = true))
         assertEquals(HttpStatusCode.InternalServerError, client.post(endpoint) { setBody("x") }.status)
         assertEquals(RequestEnding.FAILED, recordsOf("e").requests.single().ending)
     }
 
     @Test
-    fun `a dropped answer closes the connection after the write took effect`(): Unit = runBlocking {
+    fun `a dropped response closes the connection after the write was applied`(): Unit = runBlocking {
         setFaults(table, Faults(dropAnswerEvery = 2))
         assertEquals(WriteResult.Applied, WireJson.decodeFromString<WriteResult>(write().bodyAsText()))
         assertTrue(isClosed { write() })
@@ -148,7 +148,7 @@
     }
 
     @Test
-    fun `a server that is down does nothing and can be told to come back`(): Unit = runBlocking {
+    fun `a server that is down applies no call and can be brought up again`(): Unit = runBlocking {
         setFaults(table, Faults(down = DownMode.CLOSE_CONNECTION))
         assertTrue(isClosed { write() })
         setFaults(table, Faults(down = DownMode.STATUS_503))
@@ -158,17 +158,17 @@
     }
 
     @Test
-    fun `a paused server holds calls back until it goes on`(): Unit = runBlocking {
+    fun `a paused server suspends calls until it is resumed`(): Unit = runBlocking {
         setFaults(table, Faults(paused = true))
-        val held = async { write() }
+        val pending = async { write() }
         while (recordsOf("table").calls.writes == 0L) yield()
-        assertFalse(held.isCompleted)
+        assertFalse(pending.isCompleted)
         setFaults(table, Faults())
-        assertEquals(HttpStatusCode.OK, held.await().status)
+        assertEquals(HttpStatusCode.OK, pending.await().status)
     }
 
     @Test
-    fun `the VM list shows real ports and lags as told`(): Unit = runBlocking {
+    fun `the VM list contains the actual ports and lags by the injected time`(): Unit = runBlocking {
         val ids = listOf("w-1", "w-2", "e")
         assertEquals(ids, listedVms().map { it.id })
         listedVms().take(2).forEach {
--- a/stand-ins/src/test/kotlin/dev/bronzeshore/standins/RecordInvariantCheckerTest.kt
+++ b/stand-ins/src/test/kotlin/dev/bronzeshore/standins/RecordInvariantCheckerTest.kt
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.DynamicTest.dynamicTest
 import org.junit.jupiter.api.TestFactory
 
-/** Guards against a judge that overlooks a violation or reports one where there is none. */
+/** Guards against missed violations and false positives. */
 class RecordInvariantCheckerTest {
     private class Case(val name: String, val records: List<ServerRecords>, vararg val expected: ViolationKind)
 
@@ -18,15 +18,15 @@
     private val cases = listOf(
         Case("no records", emptyList()),
         Case(
-            "tasks one after the other and side by side",
+            "consecutive and concurrent tasks",
             listOf(worker("w", task("a", 0, 10, half), task("b", 0, null, half), task("c", 10, 20, half))),
         ),
         Case(
-            "sizes above the capacity that are not used",
+            "sizes above the capacity, usage within it",
             listOf(worker("w", task("a", 0, 10, most, half), task("b", 0, 10, most, half))),
         ),
         Case(
-            "throttled room that is given away",
+            "capacity that a throttled task releases and another one uses",
             listOf(worker("w", throttledAt(5, task("a", 0, 10, most)), task("b", 5, 10, Resources(600, 300)))),
         ),
         Case(
@@ -50,7 +50,7 @@
             ViolationKind.OVER_USE,
         ),
         Case(
-            "a start without room",
+            "a start without free capacity",
             listOf(worker("w", task("a", 0, 10, most), refused("b", Refusal.NO_ROOM), refused("c", Refusal.LATE))),
             ViolationKind.START_WITHOUT_ROOM,
         ),
@@ -64,7 +64,7 @@
             ViolationKind.PART_TWICE_AT_ONCE,
         ),
         Case(
-            "a part that fails at once elsewhere while it runs",
+            "a part that fails immediately elsewhere while it runs",
             listOf(worker("v", task("a", 0, null, half)), worker("w", task("a", 9, 9, half, attempt = 2))),
             ViolationKind.PART_TWICE_AT_ONCE,
         ),
@@ -78,7 +78,7 @@
             ViolationKind.PART_TWICE_AT_ONCE,
         ),
         Case(
-            "two parts of one job at once",
+            "two parts of one job at the same time",
             listOf(worker("v", task("a", 0, 10, half)), worker("w", otherPart(task("a", 0, 10, half)))),
         ),
         Case(
@@ -104,7 +104,7 @@
     )
 
     @TestFactory
-    fun `each violation is found once and a clean record has none`(): List<DynamicTest> = cases.map { case ->
+    fun `each violation is found once and valid records have none`(): List<DynamicTest> = cases.map { case ->
         dynamicTest(case.name) {
             val checker = RecordInvariantChecker({ it != "once" }, { it != "once" })
             assertEquals(case.expected.toList(), checker.findViolations(case.records).map { it.kind })
--- a/stand-ins/src/test/kotlin/dev/bronzeshore/standins/TableStoreTest.kt
+++ b/stand-ins/src/test/kotlin/dev/bronzeshore/standins/TableStoreTest.kt
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.api.TestFactory
 
-/** Guards against a table that lets a stale writer through or applies half a transaction. */
+/** Guards against a table that accepts a stale writer or applies a transaction partially. */
 class TableStoreTest {
     private class Case(val name: String, val conditions: List<Condition>, val expected: WriteResult)
 
--- a/stand-ins/src/test/kotlin/dev/bronzeshore/standins/WorkerTasksTest.kt
+++ b/stand-ins/src/test/kotlin/dev/bronzeshore/standins/WorkerTasksTest.kt
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.api.TestFactory
 
-/** Guards against a worker that is more lenient, or stricter, than the protocol page. */
+/** Guards against a worker that is more lenient or stricter than the platform protocol. */
 class WorkerTasksTest {
     private val first = TaskId("j", 0, 1001)
     private val second = TaskId("j", 1, 1001)
@@ -45,22 +45,22 @@
             Step(59, heartbeat, TaskState.RUNNING),
             Step(60, heartbeat, TaskState.SUCCEEDED),
         ),
-        Case("a task starts at its latest start", Step(100, starts, TaskState.RUNNING)),
+        Case("a task starts at its latest start time", Step(100, starts, TaskState.RUNNING)),
         Case("a late start is refused", Step(101, starts, TaskState.REFUSED)),
         Case(
             "a start whose lease has ended is refused",
             Step(50, WorkerCommands(listOf(start.copy(leaseUntilMs = 50))), TaskState.REFUSED),
         ),
         Case(
-            "a task that needs more than the worker holds is refused",
+            "a task that is larger than the worker's capacity is refused",
             Step(0, WorkerCommands(listOf(start.copy(size = Resources(1, 1_001)))), TaskState.REFUSED),
         ),
         Case(
-            "a second task without room is refused",
+            "a second task without free capacity is refused",
             Step(0, WorkerCommands(listOf(start, start.copy(task = second))), TaskState.RUNNING, TaskState.REFUSED),
         ),
         Case(
-            "room that is free again is given",
+            "capacity that a task released is used again",
             Step(0, starts, TaskState.RUNNING),
             Step(
                 60,
@@ -91,7 +91,7 @@
             Step(400, heartbeat, TaskState.LEASE_EXPIRED),
         ),
         Case(
-            "an order to stop takes its time and the first order counts",
+            "an order to stop takes the stop time and only the first order has an effect",
             Step(0, starts, TaskState.RUNNING),
             Step(10, stop, TaskState.RUNNING),
             Step(15, checkpoint, TaskState.RUNNING),
@@ -104,7 +104,7 @@
             Step(30, heartbeat, TaskState.CHECKPOINTED),
         ),
         Case(
-            "a throttled task takes twice the time that was left",
+            "a throttled task takes twice the remaining time",
             Step(0, starts, TaskState.RUNNING),
             Step(10, throttle, TaskState.RUNNING),
             Step(20, throttle, TaskState.RUNNING),
@@ -112,7 +112,7 @@
             Step(90, heartbeat, TaskState.SUCCEEDED),
         ),
         Case(
-            "a task without end runs on, throttled or not",
+            "a task with an unlimited run time keeps running, throttled or not",
             Step(1, WorkerCommands(listOf(start.copy(runMs = Long.MAX_VALUE))), TaskState.RUNNING),
             Step(10, throttle, TaskState.RUNNING),
             Step(199, heartbeat, TaskState.RUNNING),
@@ -123,7 +123,7 @@
             Step(50, heartbeat, TaskState.FAILED),
         ),
         Case(
-            "an ended task is kept until it is acknowledged, a running one in any case",
+            "an ended task is reported until it is acknowledged, a running one in any case",
             Step(0, starts, TaskState.RUNNING),
             Step(10, acknowledgement, TaskState.RUNNING),
             Step(5_000, heartbeat, TaskState.SUCCEEDED),
@@ -132,12 +132,16 @@
     )
 
     @TestFactory
-    fun `tasks follow their deadlines and orders`(): List<DynamicTest> = cases.map { case ->
+    fun `tasks obey their deadlines and orders`(): List<DynamicTest> = cases.map { case ->
         dynamicTest(case.name) {
             val tasks = tasks()
             case.steps.forEach {
                 nowMs = it.atMs
-                assertEquals(it.expected.toList(), tasks.follow(it.commands).tasks.map(TaskStatus::state), "${it.atMs}")
+                assertEquals(
+                    it.expected.toList(),
+                    tasks.execute(it.commands).tasks.map(TaskStatus::state),
+                    "${it.atMs}",
+                )
             }
         }
     }
@@ -145,36 +149,36 @@
     @Test
     fun `an ended task is recorded with the time of its deadline, not that of the next call`() {
         val tasks = tasks()
-        tasks.follow(longStarts)
+        tasks.execute(longStarts)
         nowMs = 9_000
         val record = tasks.records(CallCounts()).tasks.single()
         assertEquals(200L to TaskState.LEASE_EXPIRED, record.endedAtMs to record.ending)
     }
 
     @Test
-    fun `a task fails at once while the worker fails every task`() {
+    fun `a task fails immediately while the worker fails every task`() {
         failsTasks = true
-        assertEquals(TaskState.FAILED, tasks().follow(starts).tasks.single().state)
+        assertEquals(TaskState.FAILED, tasks().execute(starts).tasks.single().state)
     }
 
     @Test
     fun `a restarted worker has lost its tasks and can run them again`() {
         val tasks = tasks()
-        tasks.follow(starts)
+        tasks.execute(starts)
         tasks.restart()
-        assertEquals(emptyList<TaskStatus>(), tasks.follow(heartbeat).tasks)
-        assertEquals(TaskState.RUNNING, tasks.follow(starts).tasks.single().state)
+        assertEquals(emptyList<TaskStatus>(), tasks.execute(heartbeat).tasks)
+        assertEquals(TaskState.RUNNING, tasks.execute(starts).tasks.single().state)
     }
 
     @Test
-    fun `use is reported after the lag and recorded at once`() {
+    fun `usage is reported after the lag and recorded immediately`() {
         val tasks = tasks()
-        val greedy = start.copy(payload = "use=150%")
-        assertEquals(Resources.NONE, tasks.follow(WorkerCommands(listOf(greedy))).tasks.single().used)
+        val overusing = start.copy(payload = "use=150%")
+        assertEquals(Resources.NONE, tasks.execute(WorkerCommands(listOf(overusing))).tasks.single().used)
         nowMs = 5
-        assertEquals(Resources(900, 900), tasks.follow(throttle).tasks.single().used)
+        assertEquals(Resources(900, 900), tasks.execute(throttle).tasks.single().used)
         nowMs = 15
-        assertEquals(Resources(450, 900), tasks.follow(heartbeat).tasks.single().used)
+        assertEquals(Resources(450, 900), tasks.execute(heartbeat).tasks.single().used)
         assertEquals(Resources(900, 900), tasks.records(CallCounts()).highestUse)
     }
 
