--- a/stand-ins/src/test/kotlin/dev/bronzeshore/standins/FaultInjectorTest.kt
+++ b/stand-ins/src/test/kotlin/dev/bronzeshore/standins/FaultInjectorTest.kt
@@ -13,31 +13,31 @@
 
     @Test
     fun `without faults no response is dropped`() {
-        assertEquals(0, droppedResponses(Faults()).size)
+        assertEquals(0, drops(Faults()).size)
     }
 
     @Test
     fun `every Nth response is dropped, counted from the last change of faults`() {
         val faults = Faults(dropAnswerEvery = 300)
-        assertEquals(listOf(300, 600, 900), droppedResponses(faults))
-        assertEquals(listOf(300, 600, 900), droppedResponses(faults))
+        assertEquals(listOf(300, 600, 900), drops(faults))
+        assertEquals(listOf(300, 600, 900), drops(faults))
     }
 
     @Test
-    fun `the same seed drops the same responses`() {
-        val first = droppedResponses(Faults(dropAnswerShare = 0.1, dropSeed = 7))
+    fun `a seed selects the share of responses that are dropped`() {
+        val first = drops(Faults(dropAnswerShare = 0.1, dropSeed = 7))
         assertTrue(first.size in 70..130, "${first.size} of 1000")
-        assertEquals(first, droppedResponses(Faults(dropAnswerShare = 0.1, dropSeed = 7)))
-        assertTrue(first != droppedResponses(Faults(dropAnswerShare = 0.1, dropSeed = 8)))
+        assertEquals(first, drops(Faults(dropAnswerShare = 0.1, dropSeed = 7)))
+        assertTrue(first != drops(Faults(dropAnswerShare = 0.1, dropSeed = 8)))
     }
 
     @Test
-    fun `a call is delayed`() {
+    fun `a call waits for the injected delay`() {
         injector.replace(Faults(delayMs = 30))
         assertTrue(measureTime { runBlocking { injector.delayCall() } } >= 30.milliseconds)
     }
 
-    private fun droppedResponses(faults: Faults): List<Int> {
+    private fun drops(faults: Faults): List<Int> {
         injector.replace(faults)
         return (1..1_000).filter { injector.shouldDropResponse() }
     }
