--- a/server/src/test/kotlin/dev/bronzeshore/server/cluster/StoreJobOperationsTest.kt
+++ b/server/src/test/kotlin/dev/bronzeshore/server/cluster/StoreJobOperationsTest.kt
@@ -34,7 +34,12 @@
     private class Setup(scope: TestScope, isServed: Boolean = true) {
         val store = StoreStandIn(Random(1), scope.backgroundScope)
         val jobs: JobOperations =
-            createStoreJobOperations(store.clientFor("node"), { scope.currentTime }, { isServed }, scope.backgroundScope)
+            createStoreJobOperations(
+                store.clientFor("node"),
+                { scope.currentTime },
+                { isServed },
+                scope.backgroundScope,
+            )
     }
 
     private fun job(number: Int): AcceptedJob {
