--- a/benchmarks/src/main/kotlin/dev/bronzeshore/bench/BaselinePlacer.kt
+++ b/benchmarks/src/main/kotlin/dev/bronzeshore/bench/BaselinePlacer.kt
@@ -1,4 +1,4 @@
-/** Simple placers to compare with: strict order of arrival, and one rule for the choice of worker. */
+/** Baseline placers for comparison: strict first come, first served, with one rule for selecting the worker. */
 package dev.bronzeshore.bench
 
 import arrow.core.Either
@@ -14,29 +14,29 @@
 import dev.bronzeshore.core.WorkPlacer
 import kotlin.random.Random
 
-/** Free room of one worker as a baseline sees it. */
-internal class BaselineRoom(val workerId: String, var free: Resources)
+/** A worker and its free capacity, as a baseline placer tracks it. */
+internal class BaselineWorker(val workerId: String, var free: Resources)
 
-/** Picks one of the workers that fit a size, or null if none does. */
-internal typealias RoomChooser = (rooms: List<BaselineRoom>, size: Resources) -> BaselineRoom?
+/** Selects a worker with enough free capacity, or returns null if there is none. */
+internal typealias WorkerSelector = (workers: List<BaselineWorker>, size: Resources) -> BaselineWorker?
 
-/** First come, first served: the first job in the queue blocks all others; every worker is looked at. */
-internal class BaselinePlacer(private val choose: RoomChooser) : WorkPlacer {
-    private val rooms = ArrayList<BaselineRoom>()
-    private val byId = HashMap<String, BaselineRoom>()
+/** First come, first served: the first job in the queue blocks all others; every placement scans all workers. */
+internal class BaselinePlacer(private val select: WorkerSelector) : WorkPlacer {
+    private val workers = ArrayList<BaselineWorker>()
+    private val byId = HashMap<String, BaselineWorker>()
     private val queue = ArrayDeque<Pending>()
     private val items = HashMap<String, WorkItem>()
 
     private class Pending(val item: WorkItem, val parts: ArrayDeque<Int>)
 
     override fun putWorker(worker: PlacementWorker) {
-        val room = BaselineRoom(worker.workerId, worker.capacity)
-        rooms.add(room)
-        byId[worker.workerId] = room
+        val added = BaselineWorker(worker.workerId, worker.capacity)
+        workers.add(added)
+        byId[worker.workerId] = added
     }
 
     override fun removeWorker(workerId: String) {
-        rooms.remove(byId.remove(workerId))
+        workers.remove(byId.remove(workerId))
     }
 
     override fun setAllowances(allowances: List<Allowance>): Unit = Unit
@@ -68,9 +68,9 @@
             val chosen = if (head.item.allAtOnce ||
                 head.item.kind.policy == Policy.GANG
             ) {
-                chooseAll(head)
+                placeAll(head)
             } else {
-                choosePart(head)
+                placePart(head)
             }
             if (chosen.isEmpty()) break
             placements.addAll(chosen)
@@ -81,36 +81,36 @@
 
     override fun waitReason(jobId: String): String? = null
 
-    private fun choosePart(head: Pending): List<Placement> {
-        val room = choose(rooms, head.item.size) ?: return emptyList()
-        room.free -= head.item.size
-        return listOf(Placement(head.item.jobId, head.parts.removeFirst(), room.workerId))
+    private fun placePart(head: Pending): List<Placement> {
+        val worker = select(workers, head.item.size) ?: return emptyList()
+        worker.free -= head.item.size
+        return listOf(Placement(head.item.jobId, head.parts.removeFirst(), worker.workerId))
     }
 
-    private fun chooseAll(head: Pending): List<Placement> {
-        val taken = ArrayList<BaselineRoom>()
+    private fun placeAll(head: Pending): List<Placement> {
+        val selected = ArrayList<BaselineWorker>()
         repeat(head.parts.size) {
-            val room = choose(rooms, head.item.size)
-            if (room == null) {
-                taken.forEach { used -> used.free += head.item.size }
+            val worker = select(workers, head.item.size)
+            if (worker == null) {
+                selected.forEach { allocated -> allocated.free += head.item.size }
                 return emptyList()
             }
-            room.free -= head.item.size
-            taken.add(room)
+            worker.free -= head.item.size
+            selected.add(worker)
         }
-        return taken.map { Placement(head.item.jobId, head.parts.removeFirst(), it.workerId) }
+        return selected.map { Placement(head.item.jobId, head.parts.removeFirst(), it.workerId) }
     }
 
     companion object {
-        val FIRST_FIT: RoomChooser = { rooms, size -> rooms.firstOrNull { size.fitsIn(it.free) } }
+        val FIRST_FIT: WorkerSelector = { workers, size -> workers.firstOrNull { size.fitsIn(it.free) } }
 
-        val LEAST_LOADED: RoomChooser = { rooms, size ->
-            rooms.filter { size.fitsIn(it.free) }.maxByOrNull { it.free.processorsMillicores }
+        val LEAST_LOADED: WorkerSelector = { workers, size ->
+            workers.filter { size.fitsIn(it.free) }.maxByOrNull { it.free.processorsMillicores }
         }
 
-        fun random(seed: Long): RoomChooser {
+        fun random(seed: Long): WorkerSelector {
             val random = Random(seed)
-            return { rooms, size -> rooms.filter { size.fitsIn(it.free) }.randomOrNull(random) }
+            return { workers, size -> workers.filter { size.fitsIn(it.free) }.randomOrNull(random) }
         }
     }
 }
--- a/benchmarks/src/main/kotlin/dev/bronzeshore/bench/Figure.kt
+++ b/benchmarks/src/main/kotlin/dev/bronzeshore/bench/Figure.kt
@@ -5,7 +5,7 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.encodeToString
 
-/** [size] says how large the measured case was, for example "800 workers, 4600 parts". */
+/** [size] describes the size of the measured case, for example "800 workers, 4600 parts". */
 @Serializable
 internal data class Figure(val name: String, val value: Double, val unit: String, val seed: Long, val size: String) {
     fun toLine(): String = WireJson.encodeToString(this)
--- a/benchmarks/src/main/kotlin/dev/bronzeshore/bench/GangStart.kt
+++ b/benchmarks/src/main/kotlin/dev/bronzeshore/bench/GangStart.kt
@@ -1,4 +1,4 @@
-/** How long gangs wait for all their parts in a cell at 90% load. */
+/** Measures how long gangs wait for all their parts in a cluster at 90% load. */
 package dev.bronzeshore.bench
 
 import dev.bronzeshore.core.ClockMs
@@ -18,47 +18,57 @@
 
     private class Result(val gangs: Histogram, val singles: Histogram, val waiting: Int)
 
-    private fun measure(makePlacer: (ClockMs) -> WorkPlacer): Result {
-        val feed = JobFeed(seed, plans = 4)
-        val feeder = Feeder(makePlacer)
+    private fun measure(createPlacer: (ClockMs) -> WorkPlacer): Result {
+        val generator = JobGenerator(seed, plans = 4)
+        val simulation = PlacementSimulation(createPlacer)
         val gangs = Histogram(3)
         val singles = Histogram(3)
         var submittedGangs = 0
         val startedGangs = HashSet<String>()
-        feeder.onStart = { started ->
-            val isGang = started.item.kind == JobFeed.GANG
+        simulation.onStart = { started ->
+            val isGang = started.item.kind == JobGenerator.GANG
             if (isGang) startedGangs.add(started.item.jobId)
             (if (isGang) gangs else singles).recordValue(started.startedAtMs - started.item.acceptedAtMs)
         }
-        repeat(WORKERS) { feeder.placer.putWorker(PlacementWorker("w$it", "r${it / 8}", WORKER, true)) }
-        feeder.placer.setAllowances(feed.allowances(WORKER * WORKERS))
-        var debt = 0.0
-        while (feeder.nowMs < Feeder.START_MS + LENGTH_MS) {
-            debt += LOAD * WORKERS * WORKER.processorsMillicores * STEP_MS
-            while (debt > 0) {
-                val isGang = feed.random.nextInt(GANG_EVERY) == 0
+        repeat(WORKERS) { simulation.placer.putWorker(PlacementWorker("w$it", "r${it / 8}", WORKER, true)) }
+        simulation.placer.setAllowances(generator.allowances(WORKER * WORKERS))
+        var unsubmittedWork = 0.0
+        while (simulation.nowMs < PlacementSimulation.START_MS + DURATION_MS) {
+            unsubmittedWork += LOAD * WORKERS * WORKER.processorsMillicores * STEP_MS
+            while (unsubmittedWork > 0) {
+                val isGang = generator.random.nextInt(JOBS_PER_GANG) == 0
                 if (isGang) submittedGangs++
-                debt -= if (isGang) submitGang(feed, feeder) else submitSingle(feed, feeder)
+                unsubmittedWork -=
+                    if (isGang) submitGang(generator, simulation) else submitSingle(generator, simulation)
             }
-            feeder.decideAll()
-            feeder.advanceTo(feeder.nowMs + STEP_MS)
+            simulation.decideAll()
+            simulation.advanceTo(simulation.nowMs + STEP_MS)
         }
         return Result(gangs, singles, submittedGangs - startedGangs.size)
     }
 
-    private fun submitSingle(feed: JobFeed, feeder: Feeder): Double {
-        val cores = feed.random.nextInt(1, 7)
+    private fun submitSingle(generator: JobGenerator, simulation: PlacementSimulation): Double {
+        val cores = generator.random.nextInt(1, 7)
         val size = Resources(cores * 1_000L, cores * 3 * GIB)
-        val runMs = feed.random.nextLong(5_000, 60_000)
-        feeder.submit(feed.job(JobProfile(feed.anyPlan(), JobFeed.BATCH), size, feeder.nowMs, runMs))
+        val runMs = generator.random.nextLong(5_000, 60_000)
+        simulation.submit(
+            generator.job(JobProfile(generator.randomPlan(), JobGenerator.BATCH), size, simulation.nowMs, runMs),
+        )
         return size.processorsMillicores.toDouble() * runMs
     }
 
-    private fun submitGang(feed: JobFeed, feeder: Feeder): Double {
+    private fun submitGang(generator: JobGenerator, simulation: PlacementSimulation): Double {
         val size = Resources(8_000, 24 * GIB)
-        val runMs = feed.random.nextLong(10_000, 60_000)
-        val parts = feed.random.nextInt(8, 41)
-        feeder.submit(feed.job(JobProfile(feed.anyPlan(), JobFeed.GANG, parts = parts), size, feeder.nowMs, runMs))
+        val runMs = generator.random.nextLong(10_000, 60_000)
+        val parts = generator.random.nextInt(8, 41)
+        simulation.submit(
+            generator.job(
+                JobProfile(generator.randomPlan(), JobGenerator.GANG, parts = parts),
+                size,
+                simulation.nowMs,
+                runMs,
+            ),
+        )
         return size.processorsMillicores.toDouble() * runMs * parts
     }
 
@@ -75,8 +85,8 @@
         const val WORKERS = 100
         val WORKER = Resources(32_000, 128 * GIB)
         const val LOAD = 0.9
-        const val GANG_EVERY = 80
+        const val JOBS_PER_GANG = 80
         const val STEP_MS = 200L
-        const val LENGTH_MS = 900_000L
+        const val DURATION_MS = 900_000L
     }
 }
--- a/benchmarks/src/main/kotlin/dev/bronzeshore/bench/JobFeed.kt
+++ b/benchmarks/src/main/kotlin/dev/bronzeshore/bench/JobGenerator.kt
@@ -1,4 +1,4 @@
-/** Seeded jobs of mixed sizes. */
+/** Generates workers, and jobs of mixed sizes from a seed. */
 package dev.bronzeshore.bench
 
 import dev.bronzeshore.core.Allowance
@@ -12,7 +12,7 @@
 
 internal const val GIB: Long = 1L shl 30
 
-/** What a made-up job is like; the defaults describe batch work. */
+/** Properties of a generated job; the defaults suit batch work. */
 internal data class JobProfile(
     val plan: String,
     val kind: WorkKind,
@@ -20,29 +20,29 @@
     val parts: Int = 1,
 )
 
-internal class JobFeed(seed: Long, private val plans: Int = 37) {
+internal class JobGenerator(seed: Long, private val plans: Int = 37) {
     val random: Random = Random(seed)
-    private var next = 0
+    private var nextJobNumber = 0
 
-    /** The design size: 800 workers, of which some carry accelerators (1,100 in all), eight to a rack. */
+    /** Eight workers to a rack, some with accelerators; the design size is 800 workers and 1,100 accelerators. */
     fun fleet(workers: Int): List<PlacementWorker> = List(workers) { number ->
-        val accelerators = if (number % ACCELERATED_EVERY == 0) 8L else 0L
+        val accelerators = if (number % WORKERS_PER_ACCELERATED == 0) 8L else 0L
         PlacementWorker("w$number", "rack${number / 8}", Resources(32_000, 128 * GIB, accelerators), true)
     }
 
     fun allowances(limit: Resources): List<Allowance> =
         List(plans) { Allowance("plan$it", "dc", limit, weight = 1 + it % 3) }
 
-    fun anyPlan(): String = "plan${random.nextInt(plans)}"
+    fun randomPlan(): String = "plan${random.nextInt(plans)}"
 
-    fun anyProfile(): JobProfile = JobProfile(
-        plan = anyPlan(),
+    fun randomProfile(): JobProfile = JobProfile(
+        plan = randomPlan(),
         kind = if (random.nextInt(5) == 0) SERVICE else BATCH,
         urgency = if (random.nextInt(3) == 0) Urgency.PATIENT else Urgency.NORMAL,
     )
 
     /** Sizes in steps of half a core and half a gibibyte; small ones are most frequent. */
-    fun anySize(): Resources {
+    fun randomSize(): Resources {
         val halfCores = 1 + (random.nextDouble().let { it * it } * 20).toLong()
         val perCore = longArrayOf(1, 2, 4, 8)[random.nextInt(4)]
         val accelerators = if (random.nextInt(40) == 0) 1 + random.nextLong(4) else 0
@@ -50,7 +50,7 @@
     }
 
     fun job(profile: JobProfile, size: Resources, nowMs: Long, runMs: Long): WorkItem = WorkItem(
-        jobId = "job${next++}",
+        jobId = "job${nextJobNumber++}",
         plan = profile.plan,
         kind = profile.kind,
         urgency = profile.urgency,
@@ -68,6 +68,6 @@
         val GANG: WorkKind = WorkKind("gang", Policy.GANG)
 
         /** 800 / 6 workers x 8 is close to the 1,100 accelerators of the design size. */
-        private const val ACCELERATED_EVERY = 6
+        private const val WORKERS_PER_ACCELERATED = 6
     }
 }
--- a/benchmarks/src/main/kotlin/dev/bronzeshore/bench/Main.kt
+++ b/benchmarks/src/main/kotlin/dev/bronzeshore/bench/Main.kt
@@ -7,7 +7,7 @@
 import kotlin.system.exitProcess
 
 internal class BenchOptions {
-    @Option(name = "--seed", usage = "seed of all feeds")
+    @Option(name = "--seed", usage = "seed of all generated jobs")
     var seed: Long = 20_260_807
 
     @Option(name = "--only", usage = "runs one group: latency, throughput, urgent, flood, packing, fleet or gang")
@@ -21,9 +21,9 @@
     Measurement("latency") { seed, sink -> DecisionLatency(seed, sink).run() },
     Measurement("throughput") { seed, sink -> Throughput(seed, sink).run() },
     Measurement("urgent") { seed, sink -> UrgentStart(seed, sink).run() },
-    Measurement("flood") { seed, sink -> FloodShare(seed, sink).run() },
+    Measurement("flood") { seed, sink -> FloodFairness(seed, sink).run() },
     Measurement("packing") { seed, sink -> Packing(seed, sink).run() },
-    Measurement("fleet") { seed, sink -> FleetNeed(seed, sink).run() },
+    Measurement("fleet") { seed, sink -> FleetSizing(seed, sink).run() },
     Measurement("gang") { seed, sink -> GangStart(seed, sink).run() },
 )
 
@@ -33,8 +33,8 @@
     val parser = CmdLineParser(options)
     try {
         parser.parseArgument(*args)
-    } catch (problem: CmdLineException) {
-        System.err.println("bench: ${problem.message}")
+    } catch (exception: CmdLineException) {
+        System.err.println("bench: ${exception.message}")
         parser.printUsage(System.err)
         exitProcess(2)
     }
--- a/benchmarks/src/main/kotlin/dev/bronzeshore/bench/Packing.kt
+++ b/benchmarks/src/main/kotlin/dev/bronzeshore/bench/Packing.kt
@@ -1,4 +1,4 @@
-/** How many workers a set of mixed sizes needs. */
+/** Measures how many workers a set of jobs of mixed sizes occupies. */
 package dev.bronzeshore.bench
 
 import dev.bronzeshore.core.ClockMs
@@ -14,28 +14,33 @@
         for (mix in MIXES) measure(mix)
     }
 
-    /** Sizes of one set of jobs, from whole cores and gibibytes. */
-    private class Mix(val name: String, val sizeOf: (JobFeed) -> Resources)
+    /** A size distribution for one set of jobs, in whole cores and gibibytes. */
+    private class Mix(val name: String, val sizeOf: (JobGenerator) -> Resources)
 
     private fun measure(mix: Mix) {
-        val feed = JobFeed(seed)
+        val generator = JobGenerator(seed)
         val jobs = List(JOBS) {
-            feed.job(JobProfile("plan0", JobFeed.BATCH, Urgency.PATIENT), mix.sizeOf(feed), Feeder.START_MS, 60_000)
+            generator.job(
+                JobProfile("plan0", JobGenerator.BATCH, Urgency.PATIENT),
+                mix.sizeOf(generator),
+                PlacementSimulation.START_MS,
+                60_000,
+            )
         }
         val bound = lowerBound(jobs)
-        val ours = workersUsed(jobs) { PlacementEngine(it) }
+        val engine = workersUsed(jobs) { PlacementEngine(it) }
         val firstFit = workersUsed(jobs) { BaselinePlacer(BaselinePlacer.FIRST_FIT) }
         val random = workersUsed(jobs) { BaselinePlacer(BaselinePlacer.random(seed)) }
         val leastLoaded = workersUsed(jobs) { BaselinePlacer(BaselinePlacer.LEAST_LOADED) }
         val size = "$JOBS jobs, lower bound $bound workers"
-        sink(Figure("packing_${mix.name}_to_lower_bound", ours.toDouble() / bound, "ratio", seed, size))
+        sink(Figure("packing_${mix.name}_to_lower_bound", engine.toDouble() / bound, "ratio", seed, size))
         sink(Figure("packing_${mix.name}_first_fit_to_lower_bound", firstFit.toDouble() / bound, "ratio", seed, size))
-        sink(Figure("packing_${mix.name}_fewer_than_first_fit", 1 - ours.toDouble() / firstFit, "ratio", seed, size))
-        sink(Figure("packing_${mix.name}_fewer_than_random", 1 - ours.toDouble() / random, "ratio", seed, size))
+        sink(Figure("packing_${mix.name}_fewer_than_first_fit", 1 - engine.toDouble() / firstFit, "ratio", seed, size))
+        sink(Figure("packing_${mix.name}_fewer_than_random", 1 - engine.toDouble() / random, "ratio", seed, size))
         sink(
             Figure(
                 "packing_${mix.name}_fewer_than_least_loaded",
-                1 - ours.toDouble() / leastLoaded,
+                1 - engine.toDouble() / leastLoaded,
                 "ratio",
                 seed,
                 size,
@@ -53,16 +58,16 @@
 
     private fun ceilDiv(total: Long, each: Long): Long = (total + each - 1) / each
 
-    /** Submits all jobs to a fleet that is large enough and counts the workers that got work. */
-    private fun workersUsed(jobs: List<WorkItem>, makePlacer: (ClockMs) -> WorkPlacer): Int {
-        val feeder = Feeder(makePlacer)
+    /** Submits all jobs to a fleet that is large enough and counts the workers that run at least one part. */
+    private fun workersUsed(jobs: List<WorkItem>, createPlacer: (ClockMs) -> WorkPlacer): Int {
+        val simulation = PlacementSimulation(createPlacer)
         val used = HashSet<String>()
-        feeder.onStart = { used.add(it.placement.workerId) }
-        repeat(WORKERS) { feeder.placer.putWorker(PlacementWorker("w$it", "r${it / 8}", WORKER, true)) }
-        feeder.placer.setAllowances(JobFeed(seed, 1).allowances(WORKER * WORKERS))
-        jobs.forEach { feeder.submit(it) }
-        feeder.decideAll()
-        check(feeder.runningCount == jobs.size) { "${feeder.runningCount} of ${jobs.size} jobs were placed" }
+        simulation.onStart = { used.add(it.placement.workerId) }
+        repeat(WORKERS) { simulation.placer.putWorker(PlacementWorker("w$it", "r${it / 8}", WORKER, true)) }
+        simulation.placer.setAllowances(JobGenerator(seed, 1).allowances(WORKER * WORKERS))
+        jobs.forEach { simulation.submit(it) }
+        simulation.decideAll()
+        check(simulation.runningCount == jobs.size) { "${simulation.runningCount} of ${jobs.size} jobs were placed" }
         return used.size
     }
 
@@ -75,17 +80,25 @@
 
         val MIXES = listOf(
             Mix("large") { size(it.random.nextInt(3, 20), it.random.nextInt(12, 80)) },
-            Mix("mixed") { feed ->
-                val isLarge = feed.random.nextInt(4) == 0
-                if (isLarge) size(feed.random.nextInt(8, 20), feed.random.nextInt(32, 80)) else small(feed)
+            Mix("mixed") { generator ->
+                val isLarge = generator.random.nextInt(4) == 0
+                if (isLarge) {
+                    size(
+                        generator.random.nextInt(8, 20),
+                        generator.random.nextInt(32, 80),
+                    )
+                } else {
+                    small(generator)
+                }
             },
-            Mix("skewed") { feed ->
-                val needsMemory = feed.random.nextBoolean()
-                val most = feed.random.nextInt(4, 14)
+            Mix("skewed") { generator ->
+                val needsMemory = generator.random.nextBoolean()
+                val most = generator.random.nextInt(4, 14)
                 if (needsMemory) size(most / 4, most * 4) else size(most, most)
             },
         )
 
-        private fun small(feed: JobFeed): Resources = size(feed.random.nextInt(1, 8), feed.random.nextInt(2, 32))
+        private fun small(generator: JobGenerator): Resources =
+            size(generator.random.nextInt(1, 8), generator.random.nextInt(2, 32))
     }
 }
--- a/benchmarks/src/main/kotlin/dev/bronzeshore/bench/Feeder.kt
+++ b/benchmarks/src/main/kotlin/dev/bronzeshore/bench/PlacementSimulation.kt
@@ -1,4 +1,4 @@
-/** Feeds arrivals and ends to a placer by a clock that the feed sets. */
+/** Simulated time and running parts around a [WorkPlacer]. */
 package dev.bronzeshore.bench
 
 import dev.bronzeshore.core.ClockMs
@@ -10,7 +10,7 @@
 import java.util.PriorityQueue
 
 /** A part that the placer has started. */
-internal class Running(val item: WorkItem, val placement: Placement, val startedAtMs: Long, var endsAtMs: Long) {
+internal class RunningPart(val item: WorkItem, val placement: Placement, val startedAtMs: Long, var endsAtMs: Long) {
     var ended: Boolean = false
     var requeue: Boolean = false
 
@@ -19,39 +19,39 @@
 }
 
 /**
- * Keeps the time, ends parts when their run time is over, and checkpoints preempted parts after [stopMs]: their next
- * run takes what is left.
+ * Advances a simulated clock and ends parts when their run time is over. A preempted part stops after [stopMs] with a
+ * checkpoint, so that its next run takes only the remaining time.
  *
  * [runMsOf] is the real run time of a part, which may differ from the declared one.
  */
-internal class Feeder(
-    private val makePlacer: (ClockMs) -> WorkPlacer,
+internal class PlacementSimulation(
+    private val createPlacer: (ClockMs) -> WorkPlacer,
     private val stopMs: Long = 2_000,
     private val runMsOf: (WorkItem) -> Long = { it.declaredRunMs },
 ) {
     var nowMs: Long = START_MS
         private set
-    val placer: WorkPlacer = makePlacer { nowMs }
-    private val ends = PriorityQueue<Running>(compareBy<Running> { it.endsAtMs })
-    private val running = HashMap<String, Running>()
+    val placer: WorkPlacer = createPlacer { nowMs }
+    private val ends = PriorityQueue<RunningPart>(compareBy<RunningPart> { it.endsAtMs })
+    private val running = HashMap<String, RunningPart>()
     private val remainingMs = HashMap<String, Long>()
     private val items = HashMap<String, WorkItem>()
 
-    /** Called for each start and each end. */
-    var onStart: (Running) -> Unit = {}
-    var onEnd: (Running) -> Unit = {}
+    /** [onStart] is called for each part that starts, [onEnd] for each that ends or stops. */
+    var onStart: (RunningPart) -> Unit = {}
+    var onEnd: (RunningPart) -> Unit = {}
     var preemptions: Int = 0
         private set
 
     val runningCount: Int
         get() = running.size
 
-    /** Parts that were submitted and not yet started, or requeued. */
+    /** Number of parts that were submitted or requeued and have not started. */
     var waitingCount: Int = 0
         private set
 
-    /** Reports the use of each running part. */
-    fun reportAll(usedBy: (Running) -> Resources) {
+    /** Reports the usage of each running part to the placer. */
+    fun reportUsageOfAll(usedBy: (RunningPart) -> Resources) {
         for (part in running.values) {
             val placement = part.placement
             placer.reportUsage(placement.jobId, placement.part, placement.workerId, usedBy(part))
@@ -74,20 +74,20 @@
         for (placement in decisions.placements) {
             val item = items.getValue(placement.jobId)
             val key = keyOf(placement.jobId, placement.part)
-            val started = Running(item, placement, nowMs, nowMs + (remainingMs.remove(key) ?: runMsOf(item)))
+            val started = RunningPart(item, placement, nowMs, nowMs + (remainingMs.remove(key) ?: runMsOf(item)))
             running[key] = started
             ends.add(started)
             waitingCount--
             onStart(started)
         }
         for (preemption in decisions.preemptions) {
-            val victim = running[keyOf(preemption.jobId, preemption.part)] ?: continue
-            if (victim.requeue || victim.endsAtMs <= nowMs + stopMs) continue
+            val preempted = running[keyOf(preemption.jobId, preemption.part)] ?: continue
+            if (preempted.requeue || preempted.endsAtMs <= nowMs + stopMs) continue
             preemptions++
-            ends.remove(victim)
-            victim.endsAtMs = nowMs + stopMs
-            victim.requeue = true
-            ends.add(victim)
+            ends.remove(preempted)
+            preempted.endsAtMs = nowMs + stopMs
+            preempted.requeue = true
+            ends.add(preempted)
         }
     }
 
@@ -95,7 +95,7 @@
         while (decide().placements.isNotEmpty()) Unit
     }
 
-    /** Moves the clock to [untilMs], handling the ends on the way in steps of [stepMs]. */
+    /** Moves the clock to [untilMs], ending parts that are due in steps of [stepMs]. */
     fun advanceTo(untilMs: Long, stepMs: Long = 100) {
         while (nowMs < untilMs) {
             nowMs = minOf(untilMs, nowMs + stepMs)
@@ -104,13 +104,13 @@
         }
     }
 
-    /** Ends [part] now, whatever its run time. */
-    fun endNow(part: Running) {
+    /** Ends [part] now, regardless of its run time. */
+    fun endNow(part: RunningPart) {
         ends.remove(part)
         end(part)
     }
 
-    private fun end(part: Running) {
+    private fun end(part: RunningPart) {
         part.ended = true
         running.remove(keyOf(part.placement.jobId, part.placement.part))
         if (part.requeue) {
--- a/benchmarks/src/main/kotlin/dev/bronzeshore/bench/Throughput.kt
+++ b/benchmarks/src/main/kotlin/dev/bronzeshore/bench/Throughput.kt
@@ -1,4 +1,4 @@
-/** How many placements one core makes in a second of wall-clock time. */
+/** Measures how many placements one core makes per second of wall-clock time, and the cost of a mass cancellation. */
 package dev.bronzeshore.bench
 
 import dev.bronzeshore.core.Resources
@@ -6,47 +6,61 @@
 
 internal class Throughput(private val seed: Long, private val sink: FigureSink) {
     fun run() {
-        val feed = JobFeed(seed)
-        val feeder = Feeder({ PlacementEngine(it) }, runMsOf = { Long.MAX_VALUE / 2 })
-        val started = ArrayList<Running>()
-        feeder.onStart = { started.add(it) }
-        feed.fleet(WORKERS).forEach { feeder.placer.putWorker(it) }
-        feeder.placer.setAllowances(
-            feed.allowances(Resources(Long.MAX_VALUE / 8, Long.MAX_VALUE / 8, Long.MAX_VALUE / 8)),
+        val generator = JobGenerator(seed)
+        val simulation = PlacementSimulation({ PlacementEngine(it) }, runMsOf = { Long.MAX_VALUE / 2 })
+        val started = ArrayList<RunningPart>()
+        simulation.onStart = { started.add(it) }
+        generator.fleet(WORKERS).forEach { simulation.placer.putWorker(it) }
+        simulation.placer.setAllowances(
+            generator.allowances(Resources(Long.MAX_VALUE / 8, Long.MAX_VALUE / 8, Long.MAX_VALUE / 8)),
         )
         var placed = 0L
-        var spentNs = 0L
+        var elapsedNs = 0L
         for (round in 0 until ROUNDS) {
             if (round == ROUNDS / 3) {
                 placed = 0
-                spentNs = 0
+                elapsedNs = 0
             }
-            feeder.advanceTo(feeder.nowMs + 10, stepMs = 10)
-            val jobs = List(BURST) { feed.job(feed.anyProfile(), feed.anySize(), feeder.nowMs, 60_000) }
-            spentNs += timed {
-                while (started.size > PARTS) feeder.endNow(started.swapRemove(feed.random.nextInt(started.size)))
-                jobs.forEach { feeder.submit(it) }
-                placed += feeder.decide(BURST).placements.size
+            simulation.advanceTo(simulation.nowMs + 10, stepMs = 10)
+            val jobs = List(BURST) {
+                generator.job(generator.randomProfile(), generator.randomSize(), simulation.nowMs, 60_000)
+            }
+            elapsedNs += timed {
+                while (started.size > PARTS) {
+                    simulation.endNow(started.swapRemove(generator.random.nextInt(started.size)))
+                }
+                jobs.forEach { simulation.submit(it) }
+                placed += simulation.decide(BURST).placements.size
             }
         }
-        sink(Figure("placements_per_second", placed * 1e9 / spentNs, "1/s", seed, "$WORKERS workers, $PARTS parts"))
-        cancelWave()
+        sink(Figure("placements_per_second", placed * 1e9 / elapsedNs, "1/s", seed, "$WORKERS workers, $PARTS parts"))
+        measureMassCancel()
     }
 
-    /** A third of a long queue is cancelled at once. */
-    private fun cancelWave() {
-        val feed = JobFeed(seed)
-        val feeder = Feeder({ PlacementEngine(it) }, runMsOf = { Long.MAX_VALUE / 2 })
-        feed.fleet(WORKERS).forEach { feeder.placer.putWorker(it) }
-        feeder.placer.setAllowances(
-            feed.allowances(Resources(Long.MAX_VALUE / 8, Long.MAX_VALUE / 8, Long.MAX_VALUE / 8)),
+    /** Cancels a third of a long queue at once. */
+    private fun measureMassCancel() {
+        val generator = JobGenerator(seed)
+        val simulation = PlacementSimulation({ PlacementEngine(it) }, runMsOf = { Long.MAX_VALUE / 2 })
+        generator.fleet(WORKERS).forEach { simulation.placer.putWorker(it) }
+        simulation.placer.setAllowances(
+            generator.allowances(Resources(Long.MAX_VALUE / 8, Long.MAX_VALUE / 8, Long.MAX_VALUE / 8)),
+        )
+        val jobs = List(QUEUED) {
+            generator.job(generator.randomProfile(), generator.randomSize(), simulation.nowMs, 60_000)
+        }
+        jobs.forEach { simulation.submit(it) }
+        simulation.decideAll()
+        val cancelled = jobs.takeLast(QUEUED / 3).shuffled(generator.random)
+        val elapsedNs = timed { cancelled.forEach { simulation.placer.cancel(it.jobId) } }
+        sink(
+            Figure(
+                "cancel_mean",
+                elapsedNs / 1e3 / cancelled.size,
+                "us",
+                seed,
+                "${cancelled.size} of $QUEUED queued jobs",
+            ),
         )
-        val jobs = List(QUEUED) { feed.job(feed.anyProfile(), feed.anySize(), feeder.nowMs, 60_000) }
-        jobs.forEach { feeder.submit(it) }
-        feeder.decideAll()
-        val wave = jobs.takeLast(QUEUED / 3).shuffled(feed.random)
-        val spentNs = timed { wave.forEach { feeder.placer.cancel(it.jobId) } }
-        sink(Figure("cancel_mean", spentNs / 1e3 / wave.size, "us", seed, "${wave.size} of $QUEUED queued jobs"))
     }
 
     private companion object {
--- a/benchmarks/src/main/kotlin/dev/bronzeshore/bench/capacity/CapacityMain.kt
+++ b/benchmarks/src/main/kotlin/dev/bronzeshore/bench/capacity/CapacityMain.kt
@@ -1,13 +1,13 @@
-/** `./bench capacity`: what control costs at several sizes, measured on real processes. */
+/** `./bench capacity`: measures the control overhead of real processes for several numbers of workers. */
 package dev.bronzeshore.bench.capacity
 
 import dev.bronzeshore.bench.Figure
 
-/** Size 0 is the baseline; the others divide by the three data centres. */
-private val sizes = listOf(0, 90, 210, 390, 801)
+/** 0 workers is the baseline; the other counts are divisible by the number of data centres, three. */
+private val defaultWorkerCounts = listOf(0, 90, 210, 390, 801)
 private const val PARTS_PER_WORKER = 5.75
 private const val PARTS_PER_JOB = 23
-private const val WINDOW_MS = 15_000L
+private const val MEASUREMENT_MS = 15_000L
 private const val WARM_UP_MS = 10_000L
 private const val LONG_RUN_MS = 3_600_000L
 private const val SHORT_RUN_MS = 500L
@@ -15,50 +15,55 @@
 private const val PERCENT = 100.0
 private const val MIB = 1_048_576.0
 
-/** Prints one line of JSON for each figure; [args] are numbers of workers, by default the baseline and four sizes. */
+/** Prints one line of JSON per figure; [args] are numbers of workers, by default [defaultWorkerCounts]. */
 public fun main(args: Array<String>) {
-    val chosen = if (args.isEmpty()) sizes else args.map { it.toInt() }
-    chosen.forEach { size -> measure(size).forEach { println(it.toLine()) } }
+    val workerCounts = if (args.isEmpty()) defaultWorkerCounts else args.map { it.toInt() }
+    workerCounts.forEach { size -> measure(size).forEach { println(it.toLine()) } }
 }
 
-private fun measure(workers: Int): List<Figure> = TrialCell(workers).use { cell ->
-    cell.start()
+private fun measure(workers: Int): List<Figure> = TestCluster(workers).use { cluster ->
+    cluster.start()
     val parts = (workers * PARTS_PER_WORKER).toInt()
-    cell.submitParts("long", parts, PARTS_PER_JOB, LONG_RUN_MS)
+    cluster.submitParts("long", parts, PARTS_PER_JOB, LONG_RUN_MS)
     val expected = parts / PARTS_PER_JOB * PARTS_PER_JOB.toLong()
-    awaitCondition("$expected parts run") { cell.startedParts() >= expected }
+    awaitUntil("$expected parts run") { cluster.startedParts() >= expected }
     Thread.sleep(WARM_UP_MS)
-    val steady = steadyFigures(cell, workers)
-    steady + if (workers == 0) emptyList() else burstFigures(cell, workers, expected)
+    val steady = steadyFigures(cluster, workers)
+    steady + if (workers == 0) emptyList() else burstFigures(cluster, workers, expected)
 }
 
-private fun steadyFigures(cell: TrialCell, workers: Int): List<Figure> {
-    val writesBefore = cell.tableWrites()
-    val before = cell.pids.map(ProcessUsageReader::read)
-    Thread.sleep(WINDOW_MS)
-    val after = cell.pids.map(ProcessUsageReader::read)
-    val writes = cell.tableWrites() - writesBefore
+private fun steadyFigures(cluster: TestCluster, workers: Int): List<Figure> {
+    val writesBefore = cluster.tableWrites()
+    val before = cluster.pids.map(ProcessUsageReader::read)
+    Thread.sleep(MEASUREMENT_MS)
+    val after = cluster.pids.map(ProcessUsageReader::read)
+    val writes = cluster.tableWrites() - writesBefore
     val rates = before.zip(after).map { (from, to) -> ProcessUsageReader.rate(from, to) }
     return listOf(
         figure("owner processor", rates.maxOf { it.cpuPercent }, "% of a core", workers),
         figure("owner resident memory", after.maxOf { it.residentBytes } / MIB, "MiB", workers),
         figure("owner traffic", rates.maxOf { it.bytesPerSecond }, "bytes/s", workers),
-        figure("table writes", writes * 1_000.0 / WINDOW_MS, "1/s", workers),
+        figure("table writes", writes * 1_000.0 / MEASUREMENT_MS, "1/s", workers),
     )
 }
 
-private fun burstFigures(cell: TrialCell, workers: Int, startedBefore: Long): List<Figure> {
-    val writesBefore = cell.tableWrites()
-    val before = cell.pids.map(ProcessUsageReader::read)
-    cell.submitParts("burst", BURST_PARTS, PARTS_PER_JOB, SHORT_RUN_MS)
-    awaitCondition("the burst has started") { cell.startedParts() >= startedBefore + BURST_PARTS }
-    val after = cell.pids.map(ProcessUsageReader::read)
+private fun burstFigures(cluster: TestCluster, workers: Int, startedBefore: Long): List<Figure> {
+    val writesBefore = cluster.tableWrites()
+    val before = cluster.pids.map(ProcessUsageReader::read)
+    cluster.submitParts("burst", BURST_PARTS, PARTS_PER_JOB, SHORT_RUN_MS)
+    awaitUntil("the burst has started") { cluster.startedParts() >= startedBefore + BURST_PARTS }
+    val after = cluster.pids.map(ProcessUsageReader::read)
     val elapsedMs = after.first().atMs - before.first().atMs
     val cpuMs = before.zip(after).sumOf { (from, to) -> to.cpuMs - from.cpuMs }
     return listOf(
         figure("starts", BURST_PARTS * 1_000.0 / elapsedMs, "1/s", workers),
         figure("processor time for each start", cpuMs.toDouble() / BURST_PARTS, "ms", workers),
-        figure("table writes in the burst", (cell.tableWrites() - writesBefore) * 1_000.0 / elapsedMs, "1/s", workers),
+        figure(
+            "table writes in the burst",
+            (cluster.tableWrites() - writesBefore) * 1_000.0 / elapsedMs,
+            "1/s",
+            workers,
+        ),
     )
 }
 
--- a/benchmarks/src/main/kotlin/dev/bronzeshore/bench/capacity/ProcessUsage.kt
+++ b/benchmarks/src/main/kotlin/dev/bronzeshore/bench/capacity/ProcessUsage.kt
@@ -1,4 +1,4 @@
-/** Processor time, memory and bytes of one operating-system process, as Linux counts them. */
+/** Processor time, resident memory and I/O bytes of one operating-system process, as Linux counts them. */
 package dev.bronzeshore.bench.capacity
 
 import java.nio.file.Files
@@ -30,7 +30,7 @@
             atMs = System.currentTimeMillis(),
             cpuMs = ticks * MS_PER_TICK,
             residentBytes = residentPages * PAGE_BYTES,
-            // Socket reads and writes of the JVM are counted here; the processes read and write no files meanwhile.
+            // These counters include socket reads and writes; the processes access no files during the measurement.
             transferredBytes = io.getValue("rchar") + io.getValue("wchar"),
         )
     }
--- a/benchmarks/src/main/kotlin/dev/bronzeshore/bench/capacity/TrialCell.kt
+++ b/benchmarks/src/main/kotlin/dev/bronzeshore/bench/capacity/TestCluster.kt
@@ -1,4 +1,4 @@
-/** Real processes on loopback: the stand-ins with a number of workers, and three bronzeshore processes. */
+/** Real processes on loopback: the stand-ins with the given number of workers, and three bronzeshore processes. */
 package dev.bronzeshore.bench.capacity
 
 import dev.bronzeshore.core.Allowance
@@ -28,12 +28,12 @@
 private const val FIRST_OPERATOR_PORT = 28_101
 private const val FIRST_PEER_PORT = 28_201
 private const val GIB = 1_073_741_824L
-private const val START_WITHIN_MS = 60_000L
-private const val POLL_MS = 200L
+private const val WAIT_TIMEOUT_MS = 60_000L
+private const val POLL_PERIOD_MS = 200L
 private const val TOKEN = "capacity-token"
 private val dataCentres = listOf("ridge", "valley", "meadow")
 
-internal class TrialCell(private val workers: Int) : AutoCloseable {
+internal class TestCluster(private val workers: Int) : AutoCloseable {
     private val folder: Path = Files.createTempDirectory("bronzeshore-capacity")
     private val http = HttpClient.newHttpClient()
     private val started = mutableListOf<Process>()
@@ -45,10 +45,10 @@
         val file = folder.resolve("platform.json")
         Files.writeString(file, WireJson.encodeToString(platformPlan()))
         launch("stand-ins", "dev.bronzeshore.standins.MainKt", "-Xmx1g", "platform", "--file", file.toString())
-        awaitCondition("the stand-ins answer") { get("http://127.0.0.1:$VM_LIST_PORT/vms").length > 2 }
-        dataCentres.forEachIndexed { index, dataCentre -> launchEntry(index, dataCentre) }
-        awaitCondition("the processes answer") { operatorGet("/v1/status").contains("processId") }
-        applyLists()
+        awaitUntil("the stand-ins respond") { get("http://127.0.0.1:$VM_LIST_PORT/vms").length > 2 }
+        dataCentres.forEachIndexed { index, dataCentre -> launchServer(index, dataCentre) }
+        awaitUntil("the processes respond") { operatorGet("/v1/status").contains("processId") }
+        applyConfiguration()
     }
 
     private fun platformPlan(): PlatformPlan {
@@ -63,7 +63,7 @@
         )
     }
 
-    private fun launchEntry(index: Int, dataCentre: String) {
+    private fun launchServer(index: Int, dataCentre: String) {
         fun listen(firstPort: Int) = """{"host": "127.0.0.1", "port": ${firstPort + index}}"""
         val settings = folder.resolve("$dataCentre.json")
         Files.writeString(
@@ -86,22 +86,22 @@
         started += ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log).start()
     }
 
-    private fun applyLists() {
+    private fun applyConfiguration() {
         val plan = Plan("capacity", sha256(TOKEN), listOf(WorkKind("batch", Policy.BATCH)))
         val limit = Resources(1_000_000_000, 1_000_000 * GIB, 10_000)
         val allowances = dataCentres.map { Allowance("capacity", it, limit, slots = 80) }
         val request = ApplyRequest(plans = listOf(plan), allowances = allowances, operator = "bench")
         post("http://127.0.0.1:$FIRST_OPERATOR_PORT/v1/configuration", WireJson.encodeToString(request), emptyMap())
-        awaitCondition("the configuration is in force") {
+        awaitUntil("the configuration is in force") {
             get("http://127.0.0.1:$FIRST_CALLER_PORT/readyz").contains("ready")
         }
     }
 
-    /** Submits a job of [parts] parts to one data centre; repeats while the data centre has no owner yet. */
+    /** Submits a job of [parts] parts to one data centre and retries while the data centre has no owner. */
     fun submit(key: String, dataCentre: String, parts: Int, runMs: Long) {
         val size = Resources(1_000, GIB)
         val submission = JobSubmission("batch", size, parts, dataCentre = dataCentre, declaredRunMs = runMs)
-        awaitCondition("job $key is accepted") {
+        awaitUntil("job $key is accepted") {
             val url = "http://127.0.0.1:$FIRST_CALLER_PORT/v1/jobs"
             post(url, WireJson.encodeToString(submission), mapOf("Idempotency-Key" to key)) in 200..299
         }
@@ -112,12 +112,12 @@
         submit("$name-$index", dataCentres[index % dataCentres.size], partsPerJob, runMs)
     }
 
-    /** Parts that were started so far, over all data centres. */
+    /** Number of parts started so far in all data centres. */
     fun startedParts(): Long = dataCentres.indices.sumOf { index ->
         metricSum("http://127.0.0.1:${FIRST_OPERATOR_PORT + index}/metrics", "bronzeshore_wait_seconds_count")
     }
 
-    /** Transactions that the table service has received. */
+    /** Number of transactions that the table service has received. */
     fun tableWrites(): Long {
         val records = WireJson.decodeFromString<ServerRecords>(get("http://127.0.0.1:$TABLE_PORT/stand-in/records"))
         return records.calls.writes
@@ -150,11 +150,11 @@
     }
 }
 
-internal fun awaitCondition(what: String, holds: () -> Boolean) {
-    val giveUpAtMs = System.currentTimeMillis() + START_WITHIN_MS
+internal fun awaitUntil(what: String, holds: () -> Boolean) {
+    val deadlineMs = System.currentTimeMillis() + WAIT_TIMEOUT_MS
     while (!runCatching(holds).getOrDefault(false)) {
-        check(System.currentTimeMillis() < giveUpAtMs) { "gave up waiting until $what" }
-        Thread.sleep(POLL_MS)
+        check(System.currentTimeMillis() < deadlineMs) { "timed out waiting until $what" }
+        Thread.sleep(POLL_PERIOD_MS)
     }
 }
 
