--- a/benchmarks/src/main/kotlin/dev/bronzeshore/bench/FleetSizing.kt
+++ b/benchmarks/src/main/kotlin/dev/bronzeshore/bench/FleetSizing.kt
@@ -48,14 +48,8 @@
         var tooFew = MIN_WORKERS
         var enough = MAX_WORKERS
         while (enough - tooFew > 1) {
-            val middle = (tooFew + enough) / 2
-            if (meanWaitMs(jobs, middle, reports, createPlacer) <=
-                MAX_MEAN_WAIT_MS
-            ) {
-                enough = middle
-            } else {
-                tooFew = middle
-            }
+            val mid = (tooFew + enough) / 2
+            if (meanWaitMs(jobs, mid, reports, createPlacer) <= MAX_MEAN_WAIT_MS) enough = mid else tooFew = mid
         }
         return enough
     }
--- a/benchmarks/src/main/kotlin/dev/bronzeshore/bench/Packing.kt
+++ b/benchmarks/src/main/kotlin/dev/bronzeshore/bench/Packing.kt
@@ -81,15 +81,8 @@
         val MIXES = listOf(
             Mix("large") { size(it.random.nextInt(3, 20), it.random.nextInt(12, 80)) },
             Mix("mixed") { generator ->
-                val isLarge = generator.random.nextInt(4) == 0
-                if (isLarge) {
-                    size(
-                        generator.random.nextInt(8, 20),
-                        generator.random.nextInt(32, 80),
-                    )
-                } else {
-                    small(generator)
-                }
+                val large = generator.random.nextInt(4) == 0
+                if (large) size(generator.random.nextInt(8, 20), generator.random.nextInt(32, 80)) else small(generator)
             },
             Mix("skewed") { generator ->
                 val needsMemory = generator.random.nextBoolean()
--- a/benchmarks/src/main/kotlin/dev/bronzeshore/bench/Throughput.kt
+++ b/benchmarks/src/main/kotlin/dev/bronzeshore/bench/Throughput.kt
@@ -8,8 +8,8 @@
     fun run() {
         val generator = JobGenerator(seed)
         val simulation = PlacementSimulation({ PlacementEngine(it) }, runMsOf = { Long.MAX_VALUE / 2 })
-        val started = ArrayList<RunningPart>()
-        simulation.onStart = { started.add(it) }
+        val active = ArrayList<RunningPart>()
+        simulation.onStart = { active.add(it) }
         generator.fleet(WORKERS).forEach { simulation.placer.putWorker(it) }
         simulation.placer.setAllowances(
             generator.allowances(Resources(Long.MAX_VALUE / 8, Long.MAX_VALUE / 8, Long.MAX_VALUE / 8)),
@@ -26,9 +26,7 @@
                 generator.job(generator.randomProfile(), generator.randomSize(), simulation.nowMs, 60_000)
             }
             elapsedNs += timed {
-                while (started.size > PARTS) {
-                    simulation.endNow(started.swapRemove(generator.random.nextInt(started.size)))
-                }
+                while (active.size > PARTS) simulation.endNow(active.swapRemove(generator.random.nextInt(active.size)))
                 jobs.forEach { simulation.submit(it) }
                 placed += simulation.decide(BURST).placements.size
             }
