--- a/spec/src/test/alloy/configuration.als
+++ b/spec/src/test/alloy/configuration.als
@@ -1,9 +1,9 @@
 /*
  * Configuration versions: conditional writes by operators, pushes between processes, and polling of the row.
  *
- * A version is identified by the write that produced it; a write is conditional on the version that the operator saw.
- * An answer may be lost, in which case the operator repeats the same write. A push may arrive late, twice or never; a
- * poll may return an old row, as after a pause of the process between the read and its use.
+ * A version is identified by the write that produced it; a write is conditional on the version that the operator read.
+ * A response may be lost, in which case the operator retries the same write. A push may arrive late, twice or never; a
+ * poll may return a stale row, for example after a pause of the process between the read and its use.
  */
 module configuration
 
@@ -31,7 +31,7 @@
   ConditionalWrite in InForce implies v.base = Table.row
   row' = Table -> v and Written' = Written + v and adopted' = adopted
 }
-/** The process learns of some version that was in force once, by a push or a poll. */
+/** The process receives a version that was in force at some time, by a push or a poll. */
 pred learn[p: Process, v: Version] {
   v in Written
   HigherVersionOnly in InForce implies higher[v, p.adopted]
@@ -44,10 +44,10 @@
   always (stutter or (some v: Version | write[v]) or (some p: Process, v: Version | learn[p, v]))
 }
 
-/** No process goes back to an earlier version. */
+/** No process reverts to an earlier version. */
 pred neverReverts { always all p: Process | p.adopted' = p.adopted or higher[p.adopted', p.adopted] }
 
-/** An accepted change is never overwritten by one that did not build on it. */
+/** An accepted change is never overwritten by one that is not based on it. */
 pred noLostChange { always all v: Written | v in Table.row.*base }
 
 /** Two processes with the same version number have the same version. */
--- a/spec/src/test/alloy/ownership.als
+++ b/spec/src/test/alloy/ownership.als
@@ -1,11 +1,13 @@
 /*
- * Ownership of one data centre: leases in the table, promises of deputies, takeover, hand-over and start commands.
+ * Ownership of one data centre: leases in the table, deputy leases ("promises" in this model), takeover, handover and
+ * start commands.
  *
- * One time step stands for CLOCK_DRIFT_MS: a clock shows the true time or one step more. A row is identified by the
+ * One time step stands for MAX_CLOCK_SKEW_MS: a clock shows the true time or one step more. A row is identified by the
  * write that produced it, and a write is conditional on its base row. A write that was sent may take effect at any
- * later time or never, and its sender learns the outcome only by a read. A request for a promise may arrive late or
- * twice. A lost or late answer to it needs no step of its own: its owner acts no longer than one that got the answer
- * at once. A paused process is one that takes no step. Each rule can be removed; the checks show what it prevents.
+ * later time or never, and its sender learns the outcome only by a read. A request for a deputy lease may arrive late
+ * or twice. A lost or late response to it needs no step of its own: its owner acts no longer than one that got the
+ * response at once. A paused process is one that takes no step. Each rule can be removed; the checks show what it
+ * prevents.
  */
 module ownership
 
@@ -23,16 +25,16 @@
   owner: one Process,
   deputy: lone Process,
   lease: one Time,
-  effects: lone Time,   -- effects of earlier owners may last until then
+  effects: lone Time,   -- end of the effects of earlier owners
   base: lone Row
 }
 one sig First extends Row {}
 
 sig Process {
   var known: lone Row,         -- row as last read
-  var unsettled: set Row,      -- own writes with an unknown outcome
-  var promised: lone Time,     -- latest promise made
-  var held: Process -> Time    -- promises held, by deputy
+  var unsettled: set Row,      -- own writes whose outcome is uncertain
+  var promised: lone Time,     -- end of the latest deputy lease granted
+  var held: Process -> Time    -- ends of the deputy leases held, by deputy
 }
 sig Ahead in Process {}
 
@@ -52,17 +54,18 @@
 
 fun clock[p: Process]: one Time { (p in Ahead and some Now.next) implies Now.next else Now }
 fun leaseEnd[t: Time]: lone Time { t.next.next }
+/** Time from which any process may take over, and past which no deputy lease extends ownership. */
 fun horizon[r: Row]: lone Time { r.lease.next.next.next.next }
 fun upTo[t: Time]: set Time { t + prevs[t] }
 
-/** The clock of [p] has reached [t], with the margin if that rule is in force. */
+/** The clock of [p] has reached [t], with the margin for clock skew if that rule is in force. */
 pred reached[p: Process, t: Time] {
   TakeoverMargin in InForce implies t in prevs[clock[p]] else t in upTo[clock[p]]
 }
 
 -- owner ---------------------------------------------------------------------------------------------------------
 
-/** The owner may rely on the row [r] at the time [t] of its own clock. */
+/** The leases of the row [r] let the owner [p] act at the time [t] of its own clock. */
 pred covers[p: Process, r: Row, t: Time] {
   r.owner = p
   some b: r.lease + { u: p.held[r.deputy] | HorizonBound in InForce implies u in prevs[horizon[r]] } |
@@ -75,10 +78,10 @@
 }
 pred acts[p: Process] { mayActAt[p, clock[p]] }
 
-/** A start command with the deadline [u] can leave now. */
+/** [p] can send a start command with the deadline [u] now. */
 pred canSendStart[p: Process, u: Time] { u in nexts[clock[p]] and acts[p] and mayActAt[p, prev[u]] }
 
-/** Acts and knows that the effects of earlier owners are over. */
+/** [p] acts and knows that the effects of earlier owners have ended. */
 pred places[p: Process] {
   acts[p]
   EffectsEnd in InForce implies (all e: p.known.effects | reached[p, e])
@@ -86,7 +89,7 @@
 
 -- takeover ------------------------------------------------------------------------------------------------------
 
-/** Operators may mark every process that no longer runs. */
+/** Operators may mark any process as gone that no longer runs. */
 pred markedGone[r: Row] {
   BothMarkedGone in InForce implies no (r.owner + r.deputy) & Alive else r.owner not in Alive
 }
@@ -128,7 +131,7 @@
   Stored' = w and Applied' = Applied + w
   sameLife and sameProcesses and Sent' = Sent and Now' = Now
 }
-/** A re-read that finds the same row does not settle a write, because the write may still arrive. */
+/** A re-read that finds the same row does not resolve a write, because the write may still arrive. */
 pred read[p: Process] {
   p in Alive
   known' = known ++ p -> Stored
@@ -137,7 +140,7 @@
   promised' = promised and held' = held
   sameTable and sameLife and Sent' = Sent and Now' = Now
 }
-/** The process [p] grants a request that [o] made, possibly long ago, as owner by the row [r]. */
+/** [p] grants a deputy lease until [u] to [o], on a request sent (possibly long ago) as the owner in row [r]. */
 pred grant[p: Process, o: Process, r: Row, u: Time] {
   p in Alive - o and r.owner = o and r in o.known.*base
   r in p.known.^base implies p.known.owner = o
@@ -149,7 +152,7 @@
   known' = known and unsettled' = unsettled
   sameTable and sameLife and Sent' = Sent and Now' = Now
 }
-/** A planned stop: the owner stops acting and then names its deputy as the next owner. */
+/** Planned handover: the owner stops acting and then writes a row with its deputy as the next owner. */
 pred handOver[p: Process, w: Row] {
   p in Alive - Stopped and p.known.owner = p
   w not in Sent and w.base = p.known and w.owner = p.known.deputy and w.lease = clock[p]
@@ -161,7 +164,7 @@
   p in Alive and Alive' = Alive - p and Stopped' = Stopped
   sameTable and sameProcesses and Sent' = Sent and Now' = Now
 }
-/** Against the rule, a process that starts again keeps its identity but not its memory. */
+/** Without the rule FreshIdentity, a restarted process keeps its identity but loses its memory. */
 pred restart[p: Process] {
   FreshIdentity not in InForce and p not in Stopped
   known' = known - p -> Row and unsettled' = unsettled - p -> Row
@@ -176,7 +179,7 @@
   all p: Process | p.known = First
   First.lease = next[next[first]]
 }
-/** Leaves out traces that differ from others only in idle steps. */
+/** Excludes traces that differ from others only in idle steps. */
 fact shortest {
   always (stutter implies after stutter)
   always (pass implies after not pass)
@@ -204,7 +207,7 @@
 
 pred without[r: set Rule] { InForce = Rule - r }
 
-/** Narrows the search for a counterexample to runs without crash and planned stop. */
+/** Restricts the search for a counterexample to traces without crashes and planned stops. */
 pred noStops { always (Alive = Process and no Stopped) }
 
 /** The owner names a new deputy, which then takes over. */
@@ -248,7 +251,7 @@
   for 2 Process, 2 Row, 8 Time, exactly 6 steps expect 1
 check UnchangedRowSettles { without[NewVersionSettles] implies oneOwner }
   for 2 Process, 2 Row, 8 Time, exactly 7 steps expect 1
-// Too few time steps for a takeover by horizon, so its bound is left out to keep the search small.
+// There are too few time steps for a takeover by horizon, so its bound is omitted to keep the search small.
 check OldDeputyCounts {
   (without[CountsUnsettledRows + HorizonBound] and noStops and no Row.effects and changeThenTakeover) implies oneOwner
 } for 3 Process, 3 Row, 6 Time, exactly 9 steps expect 1
@@ -262,7 +265,7 @@
   for 2 Process, 2 Row, 6 Time, exactly 5 steps expect 1
 check HandOverWithoutEffects { without[EffectsEnd] implies lateStartsRefused }
   for 2 Process, 3 Row, 7 Time, exactly 7 steps expect 1
-// The shape of the rows is fixed as well; without that the search takes about a minute.
+// The sequence of rows is fixed as well; otherwise the search takes about a minute.
 check LeaseBelowPromise {
   (without[LeaseCoversPromises + HorizonBound] and noStops and no Row.effects and changeThenTakeover)
     implies lateStartsRefused
--- a/spec/src/test/kotlin/dev/bronzeshore/spec/AlloyModel.kt
+++ b/spec/src/test/kotlin/dev/bronzeshore/spec/AlloyModel.kt
@@ -16,7 +16,7 @@
 
     val commands: List<Command> get() = module.allCommands
 
-    /** A satisfiable solution is an instance of a `run` and a counterexample of a `check`. */
+    /** A satisfiable solution is an instance of a `run` command or a counterexample to a `check` command. */
     fun solve(command: Command): A4Solution {
         val options = A4Options()
         options.solver = SATFactory.find("sat4j").orElseThrow()
--- a/spec/src/test/kotlin/dev/bronzeshore/spec/SpecificationTest.kt
+++ b/spec/src/test/kotlin/dev/bronzeshore/spec/SpecificationTest.kt
@@ -6,8 +6,8 @@
 import org.junit.jupiter.api.TestFactory
 
 /**
- * Each property holds within its scope, and each rule that the design relies on has a counterexample once it is
- * removed; guards against rules that are wrong, and against a specification that is too weak to notice.
+ * Checks that each property holds within its scope and that removing a rule of the design yields the counterexample
+ * that its command expects. Guards against wrong rules, and against a specification too weak to detect them.
  */
 class SpecificationTest {
     @TestFactory
@@ -27,7 +27,7 @@
     private companion object {
         val FILES = listOf("ownership.als", "configuration.als")
 
-        /** Larger scopes take minutes and run only by `-Dspec.commands=Long.*`. */
+        /** Larger scopes take minutes and run only with `-Dspec.commands=Long.*`. */
         val COMMANDS = Regex(System.getProperty("spec.commands", "(?!Long).*"))
 
         init {
