--- a/benchmarks/src/main/kotlin/dev/bronzeshore/bench/FloodFairness.kt
+++ b/benchmarks/src/main/kotlin/dev/bronzeshore/bench/FloodFairness.kt
@@ -56,11 +56,7 @@
         val generators = OTHERS.associateWith { JobGenerator(seed + it.kind.hashCode()) }
         val floodGenerator = JobGenerator(seed)
         simulation.placer.setAllowances(
-            (
-                OTHERS.map {
-                    it.kind
-                } + FLOOD_KIND
-                ).map { allowanceOf(planOf(it)) }.distinct(),
+            (OTHERS.map { it.kind } + FLOOD_KIND).map { allowanceOf(planOf(it)) }.distinct(),
         )
         var unsubmittedFloodCoreMs = 0.0
         val unsubmittedByDemand = HashMap<Demand, Double>()
